--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use super::record::{Plant, Record};
+use super::record::{Bug, Recorder};
 use crate::configuration::{ARCHIVE, CHAT, Plan, entry};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
@@ -17,41 +17,46 @@
 use crate::upstream::{Script, Seen, Step, Upstream, answer, chunk, stream_head};
 
 /// Replicas of each service.
-const REPLICAS: usize = 3;
+const REPLICAS_PER_SERVICE: usize = 3;
 /// Replicas beside those that are being replaced.
-pub(super) const REPLICA_COUNT: usize = 2 * REPLICAS;
+pub(super) const REPLICA_COUNT: usize = 2 * REPLICAS_PER_SERVICE;
 /// Time between two events of a stream.
-const EVENT_GAP: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// Bound on repeats that the routers are given: ratio, slack and window.
 pub(super) const RETRY_RATIO: f64 = 0.2;
 pub(super) const RETRY_SLACK: u32 = 12;
 pub(super) const RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// Time within which a draining replica gets nothing new.
-pub(super) const DRAINING: Duration = Duration::from_secs(2);
+pub(super) const DRAINING_BOUND: Duration = Duration::from_secs(2);
 /// Time for which a stopping router may go on.
 pub(super) const STOP_GRACE: Duration = Duration::from_secs(8);
 
 /// How a replica answers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) enum Mood {
+pub(super) enum ReplicaMode {
     /// As it should.
     #[default]
-    Well,
+    Healthy,
     /// It runs requests and resets their connections.
-    LosesAnswers,
+    ResetsConnections,
     /// It runs requests and says nothing.
-    Mute,
+    NeverResponds,
     /// It turns requests away.
-    Sheds,
+    RejectsRequests,
     /// It sends a second answer after each.
-    AnswersTwice,
+    RespondsTwice,
     /// It breaks streams off, and ends answers early.
-    BreaksOff,
+    TruncatesResponses,
 }
 
-impl Mood {
-    pub(super) const ILL: [Mood; 5] =
-        [Mood::LosesAnswers, Mood::Mute, Mood::Sheds, Mood::AnswersTwice, Mood::BreaksOff];
+impl ReplicaMode {
+    pub(super) const FAULTY: [ReplicaMode; 5] = [
+        ReplicaMode::ResetsConnections,
+        ReplicaMode::NeverResponds,
+        ReplicaMode::RejectsRequests,
+        ReplicaMode::RespondsTwice,
+        ReplicaMode::TruncatesResponses,
+    ];
 }
 
 /// A replica and the way to it.
@@ -59,25 +64,25 @@
     pub(super) upstream: Upstream,
     pub(super) proxy: Proxy,
     pub(super) service: &'static str,
-    mood: Arc<Mutex<Mood>>,
+    mode: Arc<Mutex<ReplicaMode>>,
 }
 
 impl Replica {
-    fn start(id: &str, service: &'static str, record: &Arc<Record>) -> std::io::Result<Self> {
-        let mood = Arc::new(Mutex::new(Mood::default()));
-        let (now, record, name) = (mood.clone(), record.clone(), id.to_owned());
+    fn start(id: &str, service: &'static str, recorder: &Arc<Recorder>) -> std::io::Result<Self> {
+        let mode = Arc::new(Mutex::new(ReplicaMode::default()));
+        let (current, recorder, name) = (mode.clone(), recorder.clone(), id.to_owned());
         let upstream = Upstream::start(id, move |seen| {
-            let mood = *now.lock().expect("the lock is never poisoned");
-            let script = script(seen, service, mood, record.plant);
-            record.arrive(seen.id(), &name, script.runs);
+            let mode = *current.lock().expect("the lock is never poisoned");
+            let script = response_script(seen, service, mode, recorder.simulated_bug);
+            recorder.record_arrival(seen.id(), &name, script.runs);
             script
         })?;
         let proxy = Proxy::start(upstream.address())?;
-        Ok(Self { upstream, proxy, service, mood })
+        Ok(Self { upstream, proxy, service, mode })
     }
 
-    pub(super) fn set_mood(&self, mood: Mood) {
-        *self.mood.lock().expect("the lock is never poisoned") = mood;
+    pub(super) fn set_mode(&self, mode: ReplicaMode) {
+        *self.mode.lock().expect("the lock is never poisoned") = mode;
     }
 }
 
@@ -87,42 +92,47 @@
 }
 
 /// Returns the body of a request's answer.
-pub(super) fn body_of(id: &str) -> String {
+pub(super) fn response_body(id: &str) -> String {
     format!("a verse for {id}")
 }
 
-fn event_of(id: &str, number: u32) -> Vec<u8> {
+fn event_chunk(id: &str, number: u32) -> Vec<u8> {
     chunk(&format!("id: {number}\ndata: {id}-{number}\n\n"))
 }
 
-fn script(seen: &Seen, service: &str, mood: Mood, plant: Option<Plant>) -> Script {
+fn response_script(
+    seen: &Seen,
+    service: &str,
+    mode: ReplicaMode,
+    simulated_bug: Option<Bug>,
+) -> Script {
     let id = seen.id();
-    let is_shed = plant == Some(Plant::RunsRefused) && event_count(id) == 3;
-    if mood == Mood::Sheds || is_shed {
+    let is_rejected = simulated_bug == Some(Bug::RunsAfterRefusal) && event_count(id) == 3;
+    if mode == ReplicaMode::RejectsRequests || is_rejected {
         return Script::rejected(seen);
     }
     let mut steps = Vec::new();
     if service == ARCHIVE {
-        steps.push(Step::Pause(EVENT_GAP));
-        steps.push(Step::Write(answer(id, 200, &body_of(id))));
+        steps.push(Step::Pause(EVENT_INTERVAL));
+        steps.push(Step::Write(answer(id, 200, &response_body(id))));
     } else {
         let last = seen.head.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
         steps.push(Step::Write(stream_head(id)));
         for number in last + 1..=event_count(id) {
-            if plant == Some(Plant::MissingEvent) && number == 2 {
+            if simulated_bug == Some(Bug::MissingEvent) && number == 2 {
                 continue;
             }
-            steps.push(Step::Pause(EVENT_GAP));
-            steps.push(Step::Write(event_of(id, number)));
+            steps.push(Step::Pause(EVENT_INTERVAL));
+            steps.push(Step::Write(event_chunk(id, number)));
         }
         steps.push(Step::Write(b"0\r\n\r\n".to_vec()));
     }
-    match mood {
-        Mood::Well | Mood::Sheds => {}
-        Mood::LosesAnswers => steps = vec![Step::Pause(EVENT_GAP), Step::Reset],
-        Mood::Mute => steps = vec![Step::Silence],
-        Mood::AnswersTwice => steps.push(Step::Write(answer(id, 200, &body_of(id)))),
-        Mood::BreaksOff => {
+    match mode {
+        ReplicaMode::Healthy | ReplicaMode::RejectsRequests => {}
+        ReplicaMode::ResetsConnections => steps = vec![Step::Pause(EVENT_INTERVAL), Step::Reset],
+        ReplicaMode::NeverResponds => steps = vec![Step::Silence],
+        ReplicaMode::RespondsTwice => steps.push(Step::Write(answer(id, 200, &response_body(id)))),
+        ReplicaMode::TruncatesResponses => {
             steps.truncate(3);
             if let Some(Step::Write(bytes)) = steps.last_mut() {
                 bytes.truncate(bytes.len() / 2);
@@ -136,8 +146,8 @@
 /// A router process and the way from it to the store.
 pub(super) struct SoakRouter {
     pub(super) process: Router,
-    pub(super) store: Proxy,
-    pub(super) starts: Arc<AtomicU64>,
+    pub(super) store_proxy: Proxy,
+    pub(super) restart_count: Arc<AtomicU64>,
 }
 
 /// The fleet.
@@ -147,45 +157,45 @@
     pub(super) routers: Vec<SoakRouter>,
     pub(super) plan: Plan,
     /// The version that was published last, for those that look for its route.
-    pub(super) version: Arc<AtomicU64>,
-    record: Arc<Record>,
-    next_replica: usize,
+    pub(super) newest_version: Arc<AtomicU64>,
+    recorder: Arc<Recorder>,
+    started_replicas: usize,
 }
 
 impl SoakFleet {
     pub(super) async fn start(
         program: Program,
         routers: usize,
-        record: &Arc<Record>,
+        recorder: &Arc<Recorder>,
     ) -> Result<Self, Box<dyn Error>> {
         let mut fleet = Self {
             store: Store::start()?,
             replicas: Vec::new(),
             routers: Vec::new(),
             plan: Plan::default(),
-            version: Arc::new(AtomicU64::new(1)),
-            record: record.clone(),
-            next_replica: 0,
+            newest_version: Arc::new(AtomicU64::new(1)),
+            recorder: recorder.clone(),
+            started_replicas: 0,
         };
-        fleet.publish();
+        fleet.publish_next_version();
         for service in [ARCHIVE, CHAT] {
-            for _ in 0..REPLICAS {
+            for _ in 0..REPLICAS_PER_SERVICE {
                 fleet.add_replica(service)?;
             }
         }
         let bounds = json!({
             "retry_ratio": RETRY_RATIO, "retry_slack": RETRY_SLACK,
-            "retry_window_s": RETRY_WINDOW.as_secs(), "draining_ms": DRAINING.as_millis() as u64,
+            "retry_window_s": RETRY_WINDOW.as_secs(), "draining_ms": DRAINING_BOUND.as_millis() as u64,
             "stop_grace_s": STOP_GRACE.as_secs(),
         });
         for number in 0..routers {
-            let store = Proxy::start(fleet.store.address())?;
+            let store_proxy = Proxy::start(fleet.store.address())?;
             let seeds: Vec<SocketAddr> =
                 fleet.routers.iter().map(|router| router.process.peers()).collect();
             let name = format!("router-{number}");
-            let address = store.address();
+            let address = store_proxy.address();
             let process = Router::start(program.clone(), &name, address, &seeds, &bounds)?;
-            fleet.routers.push(SoakRouter { process, store, starts: Arc::default() });
+            fleet.routers.push(SoakRouter { process, store_proxy, restart_count: Arc::default() });
         }
         for router in &fleet.routers {
             router.process.ready().await?;
@@ -194,18 +204,18 @@
     }
 
     /// Publishes a configuration with a route of its own version.
-    pub(super) fn publish(&mut self) {
+    pub(super) fn publish_next_version(&mut self) {
         self.plan.next_version();
         let version = self.plan.value["version"].as_u64().unwrap_or_default();
-        self.plan.route(&route_of(version), "safe", ARCHIVE, 2);
+        self.plan.route(&version_route_prefix(version), "safe", ARCHIVE, 2);
         self.store.put_json("op/config", &self.plan.value);
-        self.version.store(version, Ordering::Relaxed);
+        self.newest_version.store(version, Ordering::Relaxed);
     }
 
     pub(super) fn add_replica(&mut self, service: &'static str) -> std::io::Result<()> {
-        self.next_replica += 1;
-        let id = format!("{service}-{}", self.next_replica);
-        let replica = Replica::start(&id, service, &self.record)?;
+        self.started_replicas += 1;
+        let id = format!("{service}-{}", self.started_replicas);
+        let replica = Replica::start(&id, service, &self.recorder)?;
         self.list(&replica, "ready");
         self.replicas.push(replica);
         Ok(())
@@ -223,17 +233,17 @@
     }
 
     /// Ends every fault that lasts, and starts what was killed.
-    pub(super) async fn mend(&mut self) -> Result<(), Box<dyn Error>> {
+    pub(super) async fn end_all_faults(&mut self) -> Result<(), Box<dyn Error>> {
         self.store.set_mode(Mode::Serving);
         for replica in &self.replicas {
             replica.proxy.set_faults(|faults| *faults = ProxyFaults::default());
             replica.proxy.cut();
-            replica.set_mood(Mood::Well);
+            replica.set_mode(ReplicaMode::Healthy);
             self.list(replica, "ready");
         }
         for router in &mut self.routers {
-            router.store.set_faults(|faults| *faults = ProxyFaults::default());
-            router.store.cut();
+            router.store_proxy.set_faults(|faults| *faults = ProxyFaults::default());
+            router.store_proxy.cut();
             router.process.signal(Signal::SIGCONT)?;
         }
         for router in &self.routers {
@@ -244,6 +254,6 @@
 }
 
 /// Returns the prefix of the route that came with a version.
-pub(super) fn route_of(version: u64) -> String {
+pub(super) fn version_route_prefix(version: u64) -> String {
     format!("/version-{version}/")
 }
--- a/teaselworks_standin/src/soak/mod.rs
+++ b/teaselworks_standin/src/soak/mod.rs
@@ -15,14 +15,14 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-pub use self::checks::Finding;
+pub use self::checks::Violation;
 use self::fleet::SoakFleet;
-pub use self::record::Plant;
-use self::record::Record;
+pub use self::record::Bug;
+use self::record::Recorder;
 use crate::router::Program;
 
 /// Time without faults at the end, after which everything must be served again.
-const SETTLING: Duration = Duration::from_secs(8);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 
 /// What one soak does.
 #[derive(Clone, Copy, Debug)]
@@ -30,13 +30,13 @@
     /// Seed of every random choice; scheduling of processes stays as it comes.
     pub seed: u64,
     /// Time for which faults are injected.
-    pub length: Duration,
+    pub duration: Duration,
     /// Number of routers.
     pub routers: usize,
     /// Number of callers, each with one request at a time.
     pub callers: usize,
     /// A broken promise that is planted, to prove that its check sees it.
-    pub plant: Option<Plant>,
+    pub simulated_bug: Option<Bug>,
 }
 
 /// What a soak saw.
@@ -51,7 +51,7 @@
     /// Faults that were injected, in order, with the time since the start.
     pub faults: Vec<(Duration, String)>,
     /// Promises that were broken.
-    pub findings: Vec<Finding>,
+    pub violations: Vec<Violation>,
 }
 
 impl fmt::Display for SoakReport {
@@ -63,39 +63,42 @@
             self.answered,
             self.refused,
             self.faults.len(),
-            self.findings.len()
+            self.violations.len()
         )?;
-        for finding in &self.findings {
-            writeln!(f, "  {finding}")?;
+        for violation in &self.violations {
+            writeln!(f, "  {violation}")?;
         }
         Ok(())
     }
 }
 
 /// Runs a soak; fails only where processes could not be started.
-pub async fn soak(program: Program, settings: SoakSettings) -> Result<SoakReport, Box<dyn Error>> {
-    let record = Arc::new(Record::new(settings.plant));
+pub async fn run_soak(
+    program: Program,
+    settings: SoakSettings,
+) -> Result<SoakReport, Box<dyn Error>> {
+    let recorder = Arc::new(Recorder::new(settings.simulated_bug));
     let mut random = Pcg32::seed_from_u64(settings.seed);
-    let mut fleet = SoakFleet::start(program, settings.routers, &record).await?;
-    let callers = callers::start(&fleet, &record, settings.callers, settings.seed);
-    let faults = faults::play(&mut fleet, &record, settings.length, &mut random).await?;
-    let mut findings = Vec::new();
-    if settings.plant.is_none() {
+    let mut fleet = SoakFleet::start(program, settings.routers, &recorder).await?;
+    let callers = callers::start(&fleet, &recorder, settings.callers, settings.seed);
+    let faults = faults::inject(&mut fleet, &recorder, settings.duration, &mut random).await?;
+    let mut violations = Vec::new();
+    if settings.simulated_bug.is_none() {
         // Connections are cut for it, also those of requests in progress.
-        let mending = record.open(None, false);
-        fleet.mend().await?;
-        record.close(mending);
-        tokio::time::sleep(SETTLING).await;
-        findings.extend(callers::check_recovery(&fleet).await);
+        let span = recorder.begin_span(None, false);
+        fleet.end_all_faults().await?;
+        recorder.end_span(span);
+        tokio::time::sleep(SETTLE_TIME).await;
+        violations.extend(callers::check_recovery(&fleet).await);
     }
     callers.stop().await;
-    findings.extend(checks::check(&record));
-    let counts = record.counts();
+    violations.extend(checks::check(&recorder));
+    let counts = recorder.request_counts();
     Ok(SoakReport {
         requests: counts.requests,
         answered: counts.answered,
         refused: counts.refused,
         faults,
-        findings,
+        violations,
     })
 }
