--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that keep their connections until the process behind them is gone, and those that look
-//! which configuration is in force.
+//! Callers that send requests over persistent connections, and probes that find out which
+//! configuration each router uses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,26 +17,28 @@
 use crate::caller::{Call, Connection, Reply};
 use crate::configuration::{HOST, KEY};
 
-/// Time that callers give a request.
+/// Deadline that callers send with a request.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(3_000);
-/// Time after it in which an answer may still arrive.
+/// How long after its deadline a response may still arrive.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_000);
 /// Longest pause of a caller between two requests.
 const MAX_REQUEST_PAUSE_MS: u64 = 60;
-/// Part of requests whose caller leaves soon, one in so many.
+/// One request in this many is abandoned by its caller soon after it was sent.
 const ABANDON_ONE_IN: u32 = 25;
-/// Pause between looks for the newest route.
+/// Pause between two probes for the newest configuration, and before a caller connects again after
+/// a failed attempt.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Requests of each kind that must be answered at each router at the end.
+/// Requests of each kind that every router must answer after all faults have ended.
 const RECOVERY_REQUESTS_PER_KIND: usize = 5;
 
-/// Running callers.
+/// The tasks of all callers and probes.
 pub(super) struct Callers {
     stop: CancellationToken,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Callers {
+    /// Stops the callers and probes, and waits until their last requests have ended.
     pub(super) async fn stop(self) {
         self.stop.cancel();
         for task in self.tasks {
@@ -45,9 +47,11 @@
     }
 }
 
+/// State of one caller or probe.
 #[derive(Clone)]
 struct Caller {
     number: usize,
+    /// Addresses of the routers for callers.
     routers: Vec<SocketAddr>,
     restart_counts: Vec<Arc<AtomicU64>>,
     newest_version: Arc<AtomicU64>,
@@ -56,7 +60,7 @@
     request_count: u32,
 }
 
-/// Starts callers of every kind of request, and one that looks for configurations at each router.
+/// Starts callers that send requests of every kind, and one configuration probe for each router.
 pub(super) fn start(
     fleet: &SoakFleet,
     recorder: &Arc<Recorder>,
@@ -84,7 +88,7 @@
 }
 
 impl Caller {
-    /// Asks until the soak ends. A connection is used for as long as it is open.
+    /// Sends requests to random routers until the soak ends, several over each connection.
     async fn send_requests(mut self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             let router = self.random.random_range(0..self.routers.len());
@@ -103,7 +107,8 @@
         }
     }
 
-    /// Makes one request; false where the connection cannot be used any more.
+    /// Sends one request and records how it ended. Returns false if the connection cannot be used
+    /// for another request.
     async fn send_request(&mut self, connection: &mut Connection, router: usize) -> bool {
         let kind = RequestKind::ALL[self.random.random_range(0..RequestKind::ALL.len())];
         self.request_count += 1;
@@ -132,6 +137,7 @@
         is_reusable
     }
 
+    /// Evaluates a reply, and falsifies the outcome where a bug is simulated.
     fn evaluate_reply(&self, reply: &Reply, kind: RequestKind, id: &str) -> Outcome {
         let status = reply.status();
         let mut is_own = status != 200 || matches_request(reply, kind, id);
@@ -148,7 +154,8 @@
         Outcome::Response { status, is_own, is_whole, events: event_ids(&text) }
     }
 
-    /// Looks for the route of the newest version at one router, again and again.
+    /// Requests the route of the newest configuration from one router until the soak ends, and
+    /// records whether the router has it.
     async fn probe_versions(mut self, router: usize, stop: CancellationToken) {
         while !stop.is_cancelled() {
             tokio::time::sleep(PROBE_INTERVAL).await;
@@ -164,7 +171,8 @@
             let sent_at = self.recorder.now();
             let reply = tokio::time::timeout(REQUEST_DEADLINE, connection.call(&call)).await;
             let Ok(Ok(Some(reply))) = reply else { continue };
-            // A router that knows no configuration yet says 503.
+            // 404 means that the router has no such route. Any other failure, such as the 503 of a
+            // router without a configuration, does not tell which configuration it has.
             let is_known = match reply.status() {
                 404 => false,
                 200 => true,
@@ -181,6 +189,8 @@
     }
 }
 
+/// Builds a request of a kind. A streaming request carries a prompt prefix of one part that all
+/// chats share and two parts that only requests with the same `chat_number` share.
 fn build_call(kind: RequestKind, id: &str, chat_number: u32) -> Call {
     let method = if kind == RequestKind::Read { "GET" } else { "POST" };
     let call = Call::new(method, HOST, &format!("{}a", kind.prefix()), id)
@@ -198,6 +208,7 @@
         .body("Which verse is older?")
 }
 
+/// Returns whether the headers of a reply, and the events of a stream, name the request.
 fn matches_request(reply: &Reply, kind: RequestKind, id: &str) -> bool {
     let stamp = format!("stamp-{id}");
     let text = reply.text();
@@ -208,13 +219,14 @@
         && (!kind.is_stream() || foreign.next().is_none())
 }
 
+/// Returns the numbers of the events in the body of a stream.
 fn event_ids(text: &str) -> Vec<u32> {
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).collect()
 }
 
-/// Checks that every router serves every kind of request once all faults are over, by the newest
-/// configuration.
+/// Checks that every router serves every kind of request, and uses the newest configuration, after
+/// all faults have ended.
 pub(super) async fn check_recovery(fleet: &SoakFleet) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (number, router) in fleet.routers.iter().enumerate() {
