--- a/teaselworks_standin/src/soak/checks.rs
+++ b/teaselworks_standin/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked against what was seen.
+//! Checks the guarantees to callers against what was observed.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -10,19 +10,19 @@
 use super::record::{Arrival, Bug, FaultSpan, Observations, Outcome, Recorder, RequestRecord};
 use crate::configuration::{ARCHIVE, CHAT};
 
-/// Time after the end of a fault from which promises with a bound in time hold again.
+/// Time after the end of a fault from which guarantees with a time bound hold again.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// Time for which an answer that was under way may still follow an older configuration.
+/// Time for which a response that was in progress may still follow an older configuration.
 const IN_PROGRESS_SLACK: Duration = Duration::from_millis(250);
-/// Way of a request through the proxies.
+/// Time that a request may take to pass through the proxies.
 const PROXY_LATENCY: Duration = Duration::from_millis(200);
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Violation {
-    /// The promise.
+    /// The guarantee.
     pub guarantee: &'static str,
-    /// What was seen.
+    /// What was observed.
     pub details: String,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Checks every promise.
+/// Checks every guarantee and returns the violations.
 pub(super) fn check(recorder: &Recorder) -> Vec<Violation> {
     let observations = recorder.observations();
     let mut violations = Vec::new();
@@ -50,11 +50,12 @@
     check_planned_stops(&observations, recorder.simulated_bug, &mut violations);
     for (router, at) in &observations.unexpected_exits {
         let details = format!("the process of router-{router} was found to have exited at {at:?}");
-        violations.push(Violation::new("no router ends by itself", details));
+        violations.push(Violation::new("no unexpected exit of a router", details));
     }
     violations
 }
 
+/// Returns how many times replicas ran each request.
 fn count_runs(observations: &Observations) -> HashMap<&str, usize> {
     let mut run_counts = HashMap::new();
     for arrival in observations.arrivals.iter().filter(|arrival| arrival.has_run) {
@@ -63,7 +64,8 @@
     run_counts
 }
 
-/// At most once, as often as the route allows, and never after a refusal that says "not run".
+/// Checks that no request runs more often than its route allows, and that no at-most-once request
+/// has run whose response says that it did not.
 fn check_runs(observations: &Observations, violations: &mut Vec<Violation>) {
     let run_counts = count_runs(observations);
     for request in &observations.requests {
@@ -76,18 +78,19 @@
         let Outcome::Response { status, .. } = outcome else { continue };
         if [408, 421, 429, 503].contains(status) && count > 0 && kind.max_runs() == 1 {
             let details = format!("{id} ({kind:?}) was refused with status {status} and ran");
-            violations.push(Violation::new("true refusals", details));
+            violations.push(Violation::new("refused requests do not run", details));
         }
     }
 }
 
-/// Own and whole answers; events in order, each once, and to the last where the end was seen.
+/// Checks that successful responses belong to their request, that the events of a stream arrive in
+/// order without gaps or duplicates, and that a stream which ended as complete carried all events.
 fn check_responses(observations: &Observations, violations: &mut Vec<Violation>) {
     for RequestRecord { id, kind, outcome, .. } in &observations.requests {
         let Outcome::Response { status: 200, is_own, is_whole, events } = outcome else { continue };
         if !is_own {
             let details = format!("{id} ({kind:?}) got a response that is not its own");
-            violations.push(Violation::new("own and whole answers", details));
+            violations.push(Violation::new("complete and matching responses", details));
         }
         if !kind.is_stream() {
             continue;
@@ -95,17 +98,18 @@
         let is_in_order = events.iter().zip(1..).all(|(event, number)| *event == number);
         if !is_in_order {
             let details = format!("{id} ({kind:?}) got events {events:?}");
-            violations.push(Violation::new("order of events", details));
+            violations.push(Violation::new("complete event streams in order", details));
         }
         if *is_whole && events.len() != event_count(id) as usize {
             let details =
                 format!("{id} ({kind:?}) ended as complete after {} events", events.len());
-            violations.push(Violation::new("order of events", details));
+            violations.push(Violation::new("complete event streams in order", details));
         }
     }
 }
 
-/// A router that served by a version never goes back to an older one in the same process.
+/// Checks that a router process that has used a version of the configuration never goes back to an
+/// older one.
 fn check_rollbacks(observations: &Observations, violations: &mut Vec<Violation>) {
     for earlier in observations.version_probes.iter().filter(|probe| probe.is_known) {
         let is_rollback = |probe: &&_| {
@@ -118,16 +122,17 @@
         };
         if let Some(later) = observations.version_probes.iter().find(is_rollback) {
             let details = format!(
-                "router-{} knew version {} at {:?} and not version {} at {:?}",
+                "router-{} had configuration version {} at {:?} and not version {} at {:?}",
                 earlier.router, earlier.version, earlier.ended_at, later.version, later.sent_at
             );
-            violations.push(Violation::new("no older configuration", details));
+            violations.push(Violation::new("no configuration rollback", details));
             return;
         }
     }
 }
 
-/// A draining replica gets nothing new after its bound, where nothing kept routers from the news.
+/// Checks that a draining replica gets no requests after the draining bound, unless an unplanned
+/// fault could have kept routers from learning that it drains.
 fn check_drains(observations: &Observations, violations: &mut Vec<Violation>) {
     for (upstream, drained_at) in &observations.drained {
         let bound = *drained_at + DRAINING_BOUND + PROXY_LATENCY;
@@ -139,20 +144,23 @@
                     arrival.id,
                     arrival.at - *drained_at
                 );
-                violations.push(Violation::new("nothing to draining replicas", details));
+                violations.push(Violation::new("no new requests to draining replicas", details));
             }
         }
     }
 }
 
-/// Tells whether nothing unplanned was under way in a time.
+/// Returns whether no unplanned fault was active between two times, or ended less than
+/// [`RECOVERY_TIME`] before the first.
 fn is_undisturbed(observations: &Observations, from: Duration, to: Duration) -> bool {
     let overlaps =
         |span: &FaultSpan| span.from < to && span.to.is_none_or(|end| end + RECOVERY_TIME > from);
     !observations.fault_spans.iter().any(|span| !span.is_planned && overlaps(span))
 }
 
-/// Repeats stay within a ratio of the requests and a slack in every window, over all routers.
+/// Checks for each service that the retries of all routers in any window stay within the retry
+/// budget: a fixed number plus a share of the requests. The share is taken of the busiest of three
+/// windows, which start at the same time, half a window earlier and a whole window earlier.
 fn check_retries(observations: &Observations, violations: &mut Vec<Violation>) {
     for service in [ARCHIVE, CHAT] {
         let is_at_service = |arrival: &&Arrival| arrival.upstream.starts_with(service);
@@ -187,7 +195,8 @@
     }
 }
 
-/// A planned stop cuts nothing that was passed on, where nothing else was wrong.
+/// Checks that a planned stop of a router cuts no request that a replica runs, unless an unplanned
+/// fault was active at the time.
 fn check_planned_stops(
     observations: &Observations,
     bug: Option<Bug>,
--- a/teaselworks_standin/src/soak/mod.rs
+++ b/teaselworks_standin/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A randomized soak: real router processes under faults that come from outside them, with the
-//! promises to callers checked from what callers and replicas saw.
+//! A randomized soak test: runs real router processes, injects faults from outside them, and checks
+//! the guarantees to callers against what callers and replicas observed.
 
 mod callers;
 mod checks;
@@ -21,13 +21,14 @@
 use self::record::Recorder;
 use crate::router::Program;
 
-/// Time without faults at the end, after which everything must be served again.
+/// Time without faults at the end of a soak, after which routers must serve every request again.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// What one soak does.
+/// Settings of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSettings {
-    /// Seed of every random choice; scheduling of processes stays as it comes.
+    /// Seed of every random choice. It does not determine how processes and tasks are scheduled, so
+    /// two runs with one seed can differ.
     pub seed: u64,
     /// Time for which faults are injected.
     pub duration: Duration,
@@ -35,22 +36,22 @@
     pub routers: usize,
     /// Number of callers, each with one request at a time.
     pub callers: usize,
-    /// A broken promise that is planted, to prove that its check sees it.
+    /// A bug that is simulated, to test that the check of the guarantee it violates reports it.
     pub simulated_bug: Option<Bug>,
 }
 
-/// What a soak saw.
+/// Result of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
-    /// Requests of callers.
+    /// Number of requests that callers sent.
     pub requests: usize,
-    /// Requests that were answered whole.
+    /// Number of requests that got a complete response of status 200.
     pub answered: usize,
-    /// Refusals that promise that the request has not run.
+    /// Number of requests refused with status 503, which says that the request has not run.
     pub refused: usize,
-    /// Faults that were injected, in order, with the time since the start.
+    /// Faults that were injected, in order, with the time since the injection began.
     pub faults: Vec<(Duration, String)>,
-    /// Promises that were broken.
+    /// Guarantees that were violated.
     pub violations: Vec<Violation>,
 }
 
@@ -58,7 +59,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} requests, {} answered, {} refused, {} faults, {} findings",
+            "{} requests, {} answered, {} refused, {} faults, {} violations",
             self.requests,
             self.answered,
             self.refused,
@@ -72,7 +73,11 @@
     }
 }
 
-/// Runs a soak; fails only where processes could not be started.
+/// Runs a soak and returns its report, which lists violated guarantees.
+///
+/// # Errors
+///
+/// Fails if the fleet cannot be started or a fault cannot be injected or ended.
 pub async fn run_soak(
     program: Program,
     settings: SoakSettings,
@@ -84,7 +89,8 @@
     let faults = faults::inject(&mut fleet, &recorder, settings.duration, &mut random).await?;
     let mut violations = Vec::new();
     if settings.simulated_bug.is_none() {
-        // Connections are cut for it, also those of requests in progress.
+        // Ending all faults cuts connections, also those of requests in progress, and therefore
+        // counts as an unplanned fault itself.
         let span = recorder.begin_span(None, false);
         fleet.end_all_faults().await?;
         recorder.end_span(span);
--- a/teaselworks_standin/src/soak/record.rs
+++ b/teaselworks_standin/src/soak/record.rs
@@ -1,35 +1,36 @@
-//! What callers, replicas and the operator saw, by the time since the soak began.
+//! Records what callers, replicas and the fault injector observe during a soak. Every time is the
+//! time since the recorder was made, at the start of the soak.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A broken promise that is planted in what is seen.
+/// A bug that a soak simulates, to test that the check of the guarantee it violates reports it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Bug {
     /// A replica runs a request twice.
     RunsTwice,
-    /// A replica runs a request that was refused as not run.
+    /// A replica runs a request whose refusal says that it has not run.
     RunsAfterRefusal,
-    /// A caller gets the answer to another request.
+    /// A caller gets the response to another request.
     ForeignResponse,
-    /// A caller gets half of an answer that looks whole.
+    /// A caller gets half of a response that is framed as complete.
     TruncatedResponse,
     /// An event of a stream is missing.
     MissingEvent,
     /// A router goes back to an older configuration.
     ConfigurationRollback,
-    /// A replica gets requests long after it said that it drains.
+    /// A replica gets requests long after it was listed as draining.
     RequestsAfterDrain,
-    /// Requests are repeated without end.
+    /// Requests are retried without limit.
     ExcessiveRetries,
     /// A planned stop cuts a request in progress.
     CutByStop,
-    /// A router ends by itself.
+    /// A router process exits although no fault ended it.
     UnexpectedExit,
 }
 
 impl Bug {
-    /// Every planted fault.
+    /// Every bug that can be simulated.
     pub const ALL: [Bug; 10] = [
         Bug::RunsTwice,
         Bug::RunsAfterRefusal,
@@ -43,28 +44,34 @@
         Bug::UnexpectedExit,
     ];
 
-    /// Returns the promise that it breaks, as findings name it.
+    /// Returns the guarantee that it violates, as [`Violation::guarantee`] names it.
+    ///
+    /// [`Violation::guarantee`]: super::Violation::guarantee
     pub fn guarantee(self) -> &'static str {
         match self {
             Bug::RunsTwice => "at most once",
-            Bug::RunsAfterRefusal => "true refusals",
-            Bug::ForeignResponse | Bug::TruncatedResponse => "own and whole answers",
-            Bug::MissingEvent => "order of events",
-            Bug::ConfigurationRollback => "no older configuration",
-            Bug::RequestsAfterDrain => "nothing to draining replicas",
+            Bug::RunsAfterRefusal => "refused requests do not run",
+            Bug::ForeignResponse | Bug::TruncatedResponse => "complete and matching responses",
+            Bug::MissingEvent => "complete event streams in order",
+            Bug::ConfigurationRollback => "no configuration rollback",
+            Bug::RequestsAfterDrain => "no new requests to draining replicas",
             Bug::ExcessiveRetries => "retry budget",
             Bug::CutByStop => "no request cut by a planned stop",
-            Bug::UnexpectedExit => "no router ends by itself",
+            Bug::UnexpectedExit => "no unexpected exit of a router",
         }
     }
 }
 
-/// Kinds of request, one route each.
+/// Kinds of requests that callers send. Each kind has a route of its own.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(super) enum RequestKind {
+    /// Idempotent request.
     Read,
+    /// Request that runs at most once.
     Write,
+    /// Streaming request that runs at most once.
     Chat,
+    /// Streaming request that another replica can resume after its last event.
     ResumableChat,
 }
 
@@ -72,6 +79,7 @@
     pub(super) const ALL: [RequestKind; 4] =
         [RequestKind::Read, RequestKind::Write, RequestKind::Chat, RequestKind::ResumableChat];
 
+    /// Returns the path prefix of its route.
     pub(super) fn prefix(self) -> &'static str {
         match self {
             RequestKind::Read => "/read/",
@@ -85,7 +93,7 @@
         matches!(self, RequestKind::Chat | RequestKind::ResumableChat)
     }
 
-    /// Returns how often one request of a caller may run.
+    /// Returns how many times replicas may run one request of a caller.
     pub(super) fn max_runs(self) -> usize {
         match self {
             RequestKind::Read | RequestKind::ResumableChat => 2,
@@ -100,17 +108,19 @@
     pub(super) id: String,
     pub(super) upstream: String,
     pub(super) at: Duration,
+    /// Whether the replica ran the request, instead of rejecting it.
     pub(super) has_run: bool,
 }
 
-/// What a caller got.
+/// How a request ended for its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Outcome {
-    /// An answer with a status, told apart as whole and the caller's own.
+    /// A response came: whether it belongs to the request, whether its body is complete, and the
+    /// numbers of the events that it carried.
     Response { status: u16, is_own: bool, is_whole: bool, events: Vec<u32> },
-    /// The connection ended or broke without a whole head.
+    /// The connection was closed or failed before the head of the response was complete.
     NoResponse,
-    /// The caller left.
+    /// The caller gave up waiting.
     Abandoned,
 }
 
@@ -125,41 +135,45 @@
     pub(super) outcome: Outcome,
 }
 
-/// One look at the route that came with a version of the configuration.
+/// One request that finds out whether a router has the route that a version of the configuration
+/// added.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VersionProbe {
     pub(super) router: usize,
-    /// Starts of the router's process so far.
+    /// How many times the router's process had been restarted.
     pub(super) restart_count: u32,
     pub(super) version: u64,
+    /// Whether the router had the route.
     pub(super) is_known: bool,
     pub(super) sent_at: Duration,
     pub(super) ended_at: Duration,
 }
 
-/// A time in which something was not as usual.
+/// Time during which a fault or a planned operation was active.
 #[derive(Clone, Debug)]
 pub(super) struct FaultSpan {
     pub(super) from: Duration,
+    /// When it ended; `None` while it is active.
     pub(super) to: Option<Duration>,
-    /// A planned stop of this router.
+    /// The router that a planned stop ends; `None` for everything but planned stops.
     pub(super) stopped_router: Option<usize>,
     pub(super) is_planned: bool,
 }
 
+/// Everything that was observed, in the order in which it was recorded.
 #[derive(Debug, Default)]
 pub(super) struct Observations {
     pub(super) arrivals: Vec<Arrival>,
     pub(super) requests: Vec<RequestRecord>,
     pub(super) version_probes: Vec<VersionProbe>,
     pub(super) fault_spans: Vec<FaultSpan>,
-    /// Replicas that said that they drain, and when the store took that.
+    /// Replicas that were listed as draining, and when the store took the entry.
     pub(super) drained: Vec<(String, Duration)>,
-    /// Routers whose process ended though nothing had ended it, and when that was noticed.
+    /// Routers whose process exited although no fault ended it, and when that was noticed.
     pub(super) unexpected_exits: Vec<(usize, Duration)>,
 }
 
-/// Numbers of requests.
+/// Numbers of the callers' requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestCounts {
     pub(super) requests: usize,
@@ -167,7 +181,7 @@
     pub(super) refused: usize,
 }
 
-/// Everything that was seen.
+/// Collects the observations of a soak, and falsifies some where a bug is simulated.
 pub(super) struct Recorder {
     started_at: Instant,
     observations: Mutex<Observations>,
@@ -179,15 +193,17 @@
         Self { started_at: Instant::now(), observations: Mutex::default(), simulated_bug }
     }
 
+    /// Returns the time since the recorder was made.
     pub(super) fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
+    /// Locks the observations.
     pub(super) fn observations(&self) -> MutexGuard<'_, Observations> {
-        self.observations.lock().expect("the lock is never poisoned")
+        self.observations.lock().expect("the lock of the observations is never poisoned")
     }
 
-    /// Notes a request that reached a replica.
+    /// Records a request that reached a replica.
     pub(super) fn record_arrival(&self, id: &str, upstream: &str, has_run: bool) {
         let at = self.now();
         let arrival = Arrival { id: id.to_owned(), upstream: upstream.to_owned(), at, has_run };
@@ -198,23 +214,25 @@
         };
         let mut observations = self.observations();
         for copy in 0..copies {
-            // Repeats that were turned away count for the budget, and have not run.
+            // The copies of excessive retries have not run, so that they violate the retry budget
+            // and not the limit on runs.
             let has_run = has_run && (copy == 0 || self.simulated_bug == Some(Bug::RunsTwice));
             observations.arrivals.push(Arrival { has_run, ..arrival.clone() });
         }
     }
 
-    /// Notes what a caller got.
+    /// Records a caller's request after it ended.
     pub(super) fn record_request(&self, request: RequestRecord) {
         if let (Some(Bug::RunsAfterRefusal), Outcome::Response { status: 503, .. }) =
             (self.simulated_bug, &request.outcome)
         {
-            self.record_arrival(&request.id, "planted", true);
+            self.record_arrival(&request.id, "simulated", true);
         }
         self.observations().requests.push(request);
     }
 
-    /// Notes that something begins; returns its number for [`Record::close`].
+    /// Records that a fault or a planned operation begins. Returns the index of its span for
+    /// [`Recorder::end_span`].
     pub(super) fn begin_span(&self, stopped_router: Option<usize>, is_planned: bool) -> usize {
         let from = self.now();
         let mut observations = self.observations();
@@ -222,6 +240,7 @@
         observations.fault_spans.len() - 1
     }
 
+    /// Records that the fault or planned operation of a span ended.
     pub(super) fn end_span(&self, span: usize) {
         let now = self.now();
         self.observations().fault_spans[span].to = Some(now);
--- a/teaselworks_standin/tests/soak.rs
+++ b/teaselworks_standin/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak, and proof that each of its checks sees the promise that it guards broken.
+//! Runs short soaks, and tests that each check reports the violations of its guarantee.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use teaselworks_standin::router::Program;
 use teaselworks_standin::soak::{Bug, SoakReport, SoakSettings, run_soak};
 
-/// Seeds on which a promise was once found broken, each with its cause.
+/// Seeds of soaks that once reported a violation, each with its cause.
 const REGRESSION_SEEDS: [u64; 1] = [
-    // A router that was told of changed settings while it started had not caught the signal yet.
+    // A router got SIGHUP while it started, before it had installed its handler for the signal.
     136,
 ];
 
@@ -20,7 +20,9 @@
     run_soak(program, settings).await.unwrap_or_else(|error| panic!("soak of seed {seed}: {error}"))
 }
 
-/// Guards against promises that hold only while nothing fails, or one thing at a time.
+/// Guards against guarantees that hold only while nothing fails, or while faults occur one at a
+/// time: the faults of a soak overlap. It also fails if half of the requests or more get no
+/// complete response, because a router that refuses everything violates no guarantee.
 #[tokio::test]
 async fn guarantees_hold_under_random_faults() {
     let seeds: Vec<u64> = [7].into_iter().chain(REGRESSION_SEEDS).collect();
@@ -31,7 +33,8 @@
     }
 }
 
-/// Guards against checks that see nothing.
+/// Guards against checks that report nothing: each soak simulates one bug, and the check of the
+/// guarantee that the bug violates must report it.
 #[tokio::test]
 async fn every_simulated_bug_is_reported() {
     let soaks = Bug::ALL.map(|bug| run_short_soak(1, 7, Some(bug)));
