--- a/teaselworks_standin/src/bin/soak.rs
+++ b/teaselworks_standin/src/bin/soak.rs
@@ -1,6 +1,6 @@
-//! Runs a fleet under random faults and checks the promises to callers.
+//! Runs a fleet under random faults and checks the guarantees to callers.
 //!
-//! Its exit code is 0 where every promise was kept.
+//! The exit code is 0 if no guarantee was violated.
 
 use std::error::Error;
 use std::time::Duration;
@@ -19,21 +19,26 @@
         Arg::new(name).long(name).default_value(default).help(help)
     };
     let matches = Command::new("soak")
-        .about("Runs a fleet under random faults and checks the promises to callers")
-        .arg(option("seed", "1", "Seed of the faults").value_parser(value_parser!(u64)))
+        .about("Runs a fleet under random faults and checks the guarantees to callers")
+        .arg(option("seed", "1", "Seed of the random faults").value_parser(value_parser!(u64)))
         .arg(
             option("minutes", "1", "Time for which faults are injected, in minutes")
                 .value_parser(value_parser!(f64)),
         )
-        .arg(option("routers", "3", "Router processes").value_parser(value_parser!(usize)))
-        .arg(option("callers", "24", "Callers").value_parser(value_parser!(usize)))
+        .arg(
+            option("routers", "3", "Number of router processes").value_parser(value_parser!(usize)),
+        )
+        .arg(
+            option("callers", "24", "Number of callers, each with one request at a time")
+                .value_parser(value_parser!(usize)),
+        )
         .get_matches();
-    let minutes: f64 = *matches.get_one("minutes").expect("it has a default");
+    let minutes: f64 = *matches.get_one("minutes").expect("--minutes has a default value");
     let settings = SoakSettings {
-        seed: *matches.get_one("seed").expect("it has a default"),
+        seed: *matches.get_one("seed").expect("--seed has a default value"),
         duration: Duration::from_secs_f64(60.0 * minutes),
-        routers: *matches.get_one("routers").expect("it has a default"),
-        callers: *matches.get_one("callers").expect("it has a default"),
+        routers: *matches.get_one("routers").expect("--routers has a default value"),
+        callers: *matches.get_one("callers").expect("--callers has a default value"),
         simulated_bug: None,
     };
     let program = Program { path: std::env::current_exe()?, arguments: vec!["router".into()] };
@@ -42,5 +47,9 @@
         println!("{:8.3} s  {fault}", at.as_secs_f64());
     }
     print!("seed {}: {report}", settings.seed);
-    if report.violations.is_empty() { Ok(()) } else { Err("a promise was broken".into()) }
+    if report.violations.is_empty() {
+        Ok(())
+    } else {
+        Err("a guarantee was violated, see the report".into())
+    }
 }
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -1,5 +1,6 @@
-//! Faults from outside the processes, in overlapping series: through proxies, signals, the store,
-//! replicas and the operator.
+//! Injects overlapping faults from outside the router processes: through the proxies, signals, the
+//! store, the replicas and the operator. Planned operations, such as the stop of a router or a new
+//! configuration, are injected in the same way.
 
 use std::collections::HashSet;
 use std::error::Error;
@@ -16,46 +17,67 @@
 use crate::proxy::{DirectionFaults, Proxy, ProxyFaults};
 use crate::store::Mode;
 
-/// Time between two looks at what is due.
+/// Interval at which faults that are due begin and end.
 const TICK: Duration = Duration::from_millis(50);
 /// Longest pause between the starts of two faults.
 const MAX_FAULT_PAUSE_MS: u64 = 900;
-/// Length of a time with planned work alone, and of one with every fault.
+/// Length of a phase with planned operations only. It alternates with [`ALL_FAULTS_PHASE`].
 const PLANNED_ONLY_PHASE: Duration = Duration::from_secs(9);
+/// Length of a phase with every kind of fault.
 const ALL_FAULTS_PHASE: Duration = Duration::from_secs(12);
-/// Time for which stalled connections may be taken to work.
+/// Time for which routers may still take stalled connections for working ones.
 const STALL_EFFECT: Duration = Duration::from_secs(5);
-/// Time in which a killed process is down at the most.
+/// Longest time for which a killed process is down.
 const MAX_DOWN_MS: u64 = 1_500;
 
+/// A connection path that leads through a proxy.
 #[derive(Clone, Copy, Debug)]
 enum Link {
+    /// From the router of this number to the store.
     Store(usize),
+    /// From all routers to the replica of this number.
     Replica(usize),
 }
 
-/// One fault, planned or not.
+/// A fault or a planned operation. Numbers are indexes of routers or replicas in the fleet.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
+    /// Planned: stops a router with SIGTERM and starts it again after the stop's grace period.
     StopRouter(usize),
+    /// Planned: tells a router with SIGHUP to reload its settings.
     ReloadSettings(usize),
+    /// Planned: publishes a new version of the configuration.
     PublishConfiguration,
+    /// Planned: adds a replica, lists another as draining, and removes that one later.
     ReplaceReplica(usize),
+    /// Kills a router with SIGKILL and starts it again later.
     KillRouter(usize),
+    /// Suspends a router with SIGSTOP and resumes it later with SIGCONT.
     SuspendRouter(usize),
+    /// Sets a mode in which the store answers no call, or every call with 503.
     DisruptStore(Mode),
+    /// Discards the history of the store.
     CompactStore,
+    /// Overwrites a replica's entry in the store with malformed JSON.
     CorruptEntry(usize),
+    /// Crashes a replica and starts it again at once. Its entry is updated later.
     RestartReplica(usize),
+    /// Makes a replica respond as a faulty mode says.
     DegradeReplica(usize, ReplicaMode),
+    /// Holds back all bytes of a link: forward, backward, or both.
     FreezeLink(Link, bool, bool),
+    /// Delays both directions of a link by this many milliseconds.
     DelayLink(Link, u64),
+    /// Refuses new connections over a link.
     RefuseConnects(Link),
+    /// Cuts the open connections of a link.
     CutConnections(Link),
+    /// Stalls the open connections of a link: they stay open and carry nothing any more.
     StallConnections(Link),
 }
 
 impl Fault {
+    /// Draws a planned operation.
     fn random_planned(fleet: &SoakFleet, random: &mut Pcg32) -> Self {
         let router = random.random_range(0..fleet.routers.len());
         match random.random_range(0..4) {
@@ -66,6 +88,7 @@
         }
     }
 
+    /// Draws a fault or a planned operation.
     fn random_any(fleet: &SoakFleet, random: &mut Pcg32) -> Self {
         let router = random.random_range(0..fleet.routers.len());
         let replica = random.random_range(0..REPLICA_COUNT);
@@ -101,7 +124,7 @@
         )
     }
 
-    /// Returns what only one fault at a time may act on.
+    /// Returns the name of what the fault acts on. Only one fault at a time acts on a target.
     fn target(self) -> String {
         match self {
             Fault::StopRouter(router)
@@ -122,6 +145,7 @@
         }
     }
 
+    /// Returns how long the fault lasts, drawn at random for some faults.
     fn duration(self, random: &mut Pcg32) -> Duration {
         match self {
             Fault::StopRouter(_) => STOP_GRACE,
@@ -143,13 +167,16 @@
     format!("router-{router}")
 }
 
+/// A fault that has begun and not ended.
 struct ActiveFault {
     fault: Fault,
     until: Duration,
+    /// Index of its span among the observations.
     span: usize,
 }
 
-/// Plays faults for a time; returns those that were started.
+/// Injects random faults for `duration` and ends them. Returns the faults with the time at which
+/// each began, counted from the start of this call.
 pub(super) async fn inject(
     fleet: &mut SoakFleet,
     recorder: &Arc<Recorder>,
@@ -169,7 +196,8 @@
         active_faults = remaining;
         for active in Vec::<ActiveFault>::into_iter(due) {
             if let Fault::StopRouter(_) = active.fault {
-                // A planned stop has its whole grace period, also at the end.
+                // A router that was told to stop keeps its whole grace period, also when the
+                // injection of faults is over.
                 tokio::time::sleep(active.until.saturating_sub(recorder.now())).await;
             }
             end(fleet, active.fault).await?;
@@ -208,7 +236,8 @@
     }
 }
 
-/// Notes routers that ended by themselves, and starts them again as the platform does.
+/// Records routers whose process exited although no fault acts on them, and starts them again as
+/// the platform does.
 async fn restart_exited_routers(
     fleet: &mut SoakFleet,
     recorder: &Recorder,
@@ -229,7 +258,9 @@
     Ok(())
 }
 
-/// Replicas are replaced one at a time, so that their numbers hold.
+/// Returns whether a fault may begin. Replicas are replaced one at a time: a replacement ends by
+/// moving the last replica of the list to the index of the removed one, which keeps the indexes of
+/// all other replicas only if the last replica is the new one.
 fn is_allowed(fault: Fault, active_faults: &[ActiveFault]) -> bool {
     let is_replacing =
         active_faults.iter().any(|active| matches!(active.fault, Fault::ReplaceReplica(_)));
@@ -243,6 +274,7 @@
     }
 }
 
+/// Begins a fault.
 async fn begin(
     fleet: &mut SoakFleet,
     recorder: &Recorder,
@@ -274,7 +306,7 @@
         Fault::DegradeReplica(replica, mode) => fleet.replicas[replica].set_mode(mode),
         Fault::FreezeLink(link, forward, backward) => proxy(fleet, link).set_faults(|faults| {
             faults.forward.frozen = forward;
-            // One direction at least stands still.
+            // At least one direction is frozen.
             faults.backward.frozen = backward || !forward;
         }),
         Fault::DelayLink(link, delay_ms) => proxy(fleet, link).set_faults(|faults| {
@@ -289,21 +321,23 @@
     Ok(())
 }
 
+/// Ends a fault and restores what it disturbed.
 async fn end(fleet: &mut SoakFleet, fault: Fault) -> Result<(), Box<dyn Error>> {
     match fault {
         Fault::StopRouter(router) | Fault::KillRouter(router) => {
             let router = &mut fleet.routers[router];
-            // What is left after its grace period is killed, as the platform does.
+            // Like the platform, kills a router that still runs after its grace period.
             router.process.signal(Signal::SIGKILL)?;
             router.process.ended().await?;
             router.restart_count.fetch_add(1, Ordering::Relaxed);
             router.process.spawn()?;
-            // Until it runs code of its own, a process is ended by any signal.
+            // Until the new process has installed its signal handlers, any signal terminates it.
             tokio::time::sleep(TICK).await;
         }
         Fault::SuspendRouter(router) => fleet.routers[router].process.signal(Signal::SIGCONT)?,
         Fault::ReplaceReplica(number) => {
-            // The new replica takes its place, so that numbers of replicas hold.
+            // The new replica, the last of the list, takes the index of the removed one, so that the
+            // indexes of all other replicas stay.
             let removed = fleet.replicas.swap_remove(number);
             fleet.unlist(&removed.upstream.id);
         }
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet of a soak: a store, replicas and router processes, each reached through a proxy.
+//! The fleet of a soak: a store, replicas and router processes. Routers reach the store and the
+//! replicas through proxies that inject faults.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -18,38 +19,41 @@
 
 /// Replicas of each service.
 const REPLICAS_PER_SERVICE: usize = 3;
-/// Replicas beside those that are being replaced.
+/// Replicas of all services, without those that are being replaced.
 pub(super) const REPLICA_COUNT: usize = 2 * REPLICAS_PER_SERVICE;
 /// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(15);
-/// Bound on repeats that the routers are given: ratio, slack and window.
+/// Retry budget in the routers' settings: retries allowed for each request of the window.
 pub(super) const RETRY_RATIO: f64 = 0.2;
+/// Retry budget in the routers' settings: retries allowed in the window besides the ratio.
 pub(super) const RETRY_SLACK: u32 = 12;
+/// Retry budget in the routers' settings: length of the window.
 pub(super) const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Time within which a draining replica gets nothing new.
+/// Time after which a draining replica gets no new requests.
 pub(super) const DRAINING_BOUND: Duration = Duration::from_secs(2);
-/// Time for which a stopping router may go on.
+/// Time for which a router that was told to stop may finish its requests.
 pub(super) const STOP_GRACE: Duration = Duration::from_secs(8);
 
-/// How a replica answers.
+/// How a replica responds to requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) enum ReplicaMode {
-    /// As it should.
+    /// It responds correctly.
     #[default]
     Healthy,
-    /// It runs requests and resets their connections.
+    /// It runs requests and resets their connections without a response.
     ResetsConnections,
-    /// It runs requests and says nothing.
+    /// It runs requests and sends nothing.
     NeverResponds,
-    /// It turns requests away.
+    /// It rejects requests without running them.
     RejectsRequests,
-    /// It sends a second answer after each.
+    /// It sends a second response after each.
     RespondsTwice,
-    /// It breaks streams off, and ends answers early.
+    /// It resets connections in the middle of a response.
     TruncatesResponses,
 }
 
 impl ReplicaMode {
+    /// Every mode but [`ReplicaMode::Healthy`].
     pub(super) const FAULTY: [ReplicaMode; 5] = [
         ReplicaMode::ResetsConnections,
         ReplicaMode::NeverResponds,
@@ -59,7 +63,7 @@
     ];
 }
 
-/// A replica and the way to it.
+/// A replica and the proxy in front of it.
 pub(super) struct Replica {
     pub(super) upstream: Upstream,
     pub(super) proxy: Proxy,
@@ -68,11 +72,12 @@
 }
 
 impl Replica {
+    /// Starts a replica that records the requests that reach it.
     fn start(id: &str, service: &'static str, recorder: &Arc<Recorder>) -> std::io::Result<Self> {
         let mode = Arc::new(Mutex::new(ReplicaMode::default()));
         let (current, recorder, name) = (mode.clone(), recorder.clone(), id.to_owned());
         let upstream = Upstream::start(id, move |seen| {
-            let mode = *current.lock().expect("the lock is never poisoned");
+            let mode = *current.lock().expect("the lock of the mode is never poisoned");
             let script = response_script(seen, service, mode, recorder.simulated_bug);
             recorder.record_arrival(seen.id(), &name, script.runs);
             script
@@ -81,25 +86,29 @@
         Ok(Self { upstream, proxy, service, mode })
     }
 
+    /// Changes how the replica responds to requests that arrive from now on.
     pub(super) fn set_mode(&self, mode: ReplicaMode) {
-        *self.mode.lock().expect("the lock is never poisoned") = mode;
+        *self.mode.lock().expect("the lock of the mode is never poisoned") = mode;
     }
 }
 
-/// Returns the number of events of a request's stream.
+/// Returns the number of events in the stream that answers a request: from 3 to 14, depending on
+/// its identifier alone, so that callers know it too.
 pub(super) fn event_count(id: &str) -> u32 {
     3 + id.bytes().map(u32::from).sum::<u32>() % 12
 }
 
-/// Returns the body of a request's answer.
+/// Returns the body of the response to a request that is not streaming.
 pub(super) fn response_body(id: &str) -> String {
     format!("a verse for {id}")
 }
 
+/// Returns one event of the stream that answers a request, as a chunk.
 fn event_chunk(id: &str, number: u32) -> Vec<u8> {
     chunk(&format!("id: {number}\ndata: {id}-{number}\n\n"))
 }
 
+/// Returns the steps by which a replica responds to a request.
 fn response_script(
     seen: &Seen,
     service: &str,
@@ -107,6 +116,7 @@
     simulated_bug: Option<Bug>,
 ) -> Script {
     let id = seen.id();
+    // This bug needs requests that are refused: those with the shortest streams are.
     let is_rejected = simulated_bug == Some(Bug::RunsAfterRefusal) && event_count(id) == 3;
     if mode == ReplicaMode::RejectsRequests || is_rejected {
         return Script::rejected(seen);
@@ -143,26 +153,29 @@
     Script::of(steps)
 }
 
-/// A router process and the way from it to the store.
+/// A router process and the proxy between it and the store.
 pub(super) struct SoakRouter {
     pub(super) process: Router,
     pub(super) store_proxy: Proxy,
+    /// How many times the process was started again.
     pub(super) restart_count: Arc<AtomicU64>,
 }
 
-/// The fleet.
+/// A running fleet.
 pub(super) struct SoakFleet {
     pub(super) store: Store,
     pub(super) replicas: Vec<Replica>,
     pub(super) routers: Vec<SoakRouter>,
     pub(super) plan: Plan,
-    /// The version that was published last, for those that look for its route.
+    /// Version of the configuration that was published last, shared with the probes.
     pub(super) newest_version: Arc<AtomicU64>,
     recorder: Arc<Recorder>,
+    /// Number of replicas started so far, which makes their identifiers unique.
     started_replicas: usize,
 }
 
 impl SoakFleet {
+    /// Starts a fleet and waits until its routers are ready.
     pub(super) async fn start(
         program: Program,
         routers: usize,
@@ -185,7 +198,8 @@
         }
         let bounds = json!({
             "retry_ratio": RETRY_RATIO, "retry_slack": RETRY_SLACK,
-            "retry_window_s": RETRY_WINDOW.as_secs(), "draining_ms": DRAINING_BOUND.as_millis() as u64,
+            "retry_window_s": RETRY_WINDOW.as_secs(),
+            "draining_ms": DRAINING_BOUND.as_millis() as u64,
             "stop_grace_s": STOP_GRACE.as_secs(),
         });
         for number in 0..routers {
@@ -203,7 +217,8 @@
         Ok(fleet)
     }
 
-    /// Publishes a configuration with a route of its own version.
+    /// Publishes the next version of the configuration. It adds a route of its own, by which probes
+    /// find out whether a router has this version.
     pub(super) fn publish_next_version(&mut self) {
         self.plan.next_version();
         let version = self.plan.value["version"].as_u64().unwrap_or_default();
@@ -212,6 +227,7 @@
         self.newest_version.store(version, Ordering::Relaxed);
     }
 
+    /// Starts a replica of a service and lists it as ready.
     pub(super) fn add_replica(&mut self, service: &'static str) -> std::io::Result<()> {
         self.started_replicas += 1;
         let id = format!("{service}-{}", self.started_replicas);
@@ -221,18 +237,20 @@
         Ok(())
     }
 
-    /// Writes the entry of a replica.
+    /// Writes a replica's entry to the store.
     pub(super) fn list(&self, replica: &Replica, state: &str) {
         let entry = entry(&replica.upstream, replica.proxy.address(), replica.service, state);
         self.store.put_json(&format!("servers/{}", replica.upstream.id), &entry);
     }
 
-    /// Removes the entry of a replica.
+    /// Removes a replica's entry from the store.
     pub(super) fn unlist(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 
-    /// Ends every fault that lasts, and starts what was killed.
+    /// Ends every fault that still lasts: restores the store, the replicas and the proxies, cuts
+    /// all connections through the proxies, resumes suspended routers, and waits until every router
+    /// is ready.
     pub(super) async fn end_all_faults(&mut self) -> Result<(), Box<dyn Error>> {
         self.store.set_mode(Mode::Serving);
         for replica in &self.replicas {
@@ -253,7 +271,7 @@
     }
 }
 
-/// Returns the prefix of the route that came with a version.
+/// Returns the path prefix of the route that a version of the configuration adds.
 pub(super) fn version_route_prefix(version: u64) -> String {
     format!("/version-{version}/")
 }
