--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -116,7 +116,8 @@
     simulated_bug: Option<Bug>,
 ) -> Script {
     let id = seen.id();
-    // This bug needs requests that are refused: those with the shortest streams are.
+    // The simulated bug needs refused requests: those whose streams would have three events are
+    // rejected.
     let is_rejected = simulated_bug == Some(Bug::RunsAfterRefusal) && event_count(id) == 3;
     if mode == ReplicaMode::RejectsRequests || is_rejected {
         return Script::rejected(seen);
