--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -1,6 +1,6 @@
-//! Measures what one router process costs: processor time of a small request and of a relayed event,
-//! memory when idle, with many workspaces and replicas, and with a thousand open streams. Run it with
-//! `--release`.
+//! Measures what one router process costs: the processor time of a small request and of a relayed
+//! event, and the memory when idle, with many workspaces or replicas, and with a thousand open
+//! streams. Run it with `--release`, because debug builds cost more.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -14,17 +14,20 @@
 use teaselworks_standin::router::Program;
 use teaselworks_standin::upstream::{Script, Step};
 
-/// Small requests measured.
+/// Small requests over which the processor time is averaged.
 const REQUESTS: u32 = 4_000;
-/// Streams measured, and events of each.
+/// Streams over whose events the processor time is averaged.
 const STREAMS: u32 = 40;
+/// Events of each of these streams.
 const EVENTS: u32 = 1_000;
-/// Pause between events: shorter, and several would be passed on at once.
-const GAP: Duration = Duration::from_millis(1);
-/// Workspaces, each with two keys, and replicas for the measure of what is held of the store.
+/// Pause between two events of a stream. With a shorter pause the router would relay several events
+/// at once.
+const EVENT_INTERVAL: Duration = Duration::from_millis(1);
+/// Most workspaces, each with two keys, for which the memory of a router is measured.
 const WORKSPACES: usize = 18_000;
+/// Replicas for which the memory of a router is measured.
 const REPLICAS: usize = 800;
-/// Streams that are open at once for the measure of memory.
+/// Streams that are open at once while the memory of a router is measured.
 const OPEN_STREAMS: u32 = 1_000;
 
 fn main() -> ExitCode {
@@ -33,35 +36,44 @@
 
 async fn run() -> Result<(), Box<dyn Error>> {
     let program = Program::binary(std::env::current_exe()?);
-    measure_state(&program).await?;
+    measure_store_memory(&program).await?;
     let fleet = Fleet::start(program, 1).await?;
     let router = &fleet.routers[0];
-    let process = router.id().ok_or("the router does not run")?;
+    let process_id = router.id().ok_or("router-0 does not run")?;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    println!("memory idle: {:.1} MB", memory_mb(process)?);
+    println!("memory idle: {:.1} MB", memory_mb(process_id)?);
 
     let mut connection = Connection::open(router.callers()).await?;
-    let before = processor_time(process)?;
+    let before = processor_time(process_id)?;
     for number in 0..REQUESTS {
-        let reply = connection.call(&request("GET", "/read/a", &format!("r{number}"))).await?;
+        let reply =
+            connection.call(&build_request("GET", "/read/a", &format!("r{number}"))).await?;
         if reply.is_none_or(|reply| reply.status() != 200) {
-            return Err("a small request was not answered".into());
+            return Err("a small request got no response of status 200".into());
         }
     }
-    show("small request", processor_time(process)?.saturating_sub(before), REQUESTS);
+    print_processor_time(
+        "small request",
+        processor_time(process_id)?.saturating_sub(before),
+        REQUESTS,
+    );
 
     for engine in &fleet.engines {
-        engine.set_behaviour(|seen| Script::stream(seen, 1..EVENTS + 1, GAP, true));
+        engine.set_behaviour(|seen| Script::stream(seen, 1..EVENTS + 1, EVENT_INTERVAL, true));
     }
-    let before = processor_time(process)?;
+    let before = processor_time(process_id)?;
     for number in 0..STREAMS {
-        let reply = connection.call(&chat(&format!("a{number}"))).await?;
+        let reply = connection.call(&chat_request(&format!("a{number}"))).await?;
         if reply.is_none_or(|reply| reply.events().len() != EVENTS as usize) {
-            return Err("a stream was not answered whole".into());
+            return Err("a stream ended before its last event".into());
         }
     }
     let events = STREAMS * EVENTS;
-    show("relayed event", processor_time(process)?.saturating_sub(before), events);
+    print_processor_time(
+        "relayed event",
+        processor_time(process_id)?.saturating_sub(before),
+        events,
+    );
 
     for engine in &fleet.engines {
         engine.set_behaviour(|seen| {
@@ -71,19 +83,19 @@
     let mut open = Vec::new();
     for number in 0..OPEN_STREAMS {
         let Ok(mut connection) = Connection::open(router.callers()).await else { break };
-        connection.send(&chat(&format!("b{number:x}"))).await?;
+        connection.send(&chat_request(&format!("b{number:x}"))).await?;
         let head = tokio::time::timeout(Duration::from_millis(500), connection.head()).await;
         if !matches!(head, Ok(Ok(Some(_)))) {
             break;
         }
         open.push(connection);
     }
-    println!("memory with {} open streams: {:.1} MB", open.len(), memory_mb(process)?);
+    println!("memory with {} open streams: {:.1} MB", open.len(), memory_mb(process_id)?);
     Ok(())
 }
 
-/// Measures the memory of what a router holds of the store.
-async fn measure_state(program: &Program) -> Result<(), Box<dyn Error>> {
+/// Measures the memory of a router with different numbers of workspaces and replicas in the store.
+async fn measure_store_memory(program: &Program) -> Result<(), Box<dyn Error>> {
     for (workspaces, replicas) in [(0, 0), (WORKSPACES / 3, 0), (WORKSPACES, 0), (0, REPLICAS)] {
         let mut fleet = Fleet::start(program.clone(), 1).await?;
         for number in 0..replicas {
@@ -91,7 +103,9 @@
             let entry = entry(&fleet.engines[0], address, CHAT, "ready");
             fleet.store.put_json(&format!("servers/more-{number}"), &entry);
         }
-        let tenants = fleet.plan.value["tenants"].as_array_mut().ok_or("no list of workspaces")?;
+        let tenants = fleet.plan.value["tenants"]
+            .as_array_mut()
+            .ok_or("the configuration has no list `tenants`")?;
         for number in 0..workspaces {
             let keys = [format!("key-{number:016x}-1"), format!("key-{number:016x}-2")];
             tenants.push(json!({ "name": format!("workspace-{number}"), "api_keys": keys }));
@@ -101,39 +115,51 @@
         fleet.routers[0].logged("configuration_in_force", 2).await?;
         fleet.routers[0].logged("upstream_serving", 4 + replicas).await?;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let process = fleet.routers[0].id().ok_or("the router does not run")?;
-        let memory_mb = memory_mb(process)?;
+        let process_id = fleet.routers[0].id().ok_or("router-0 does not run")?;
+        let memory_mb = memory_mb(process_id)?;
         println!("memory with {workspaces} workspaces, {replicas} replicas: {memory_mb:.1} MB");
     }
     Ok(())
 }
 
-fn request(method: &str, target: &str, id: &str) -> Call {
+/// Builds a request with a deadline of one minute.
+fn build_request(method: &str, target: &str, id: &str) -> Call {
     Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "60000")
 }
 
-fn chat(id: &str) -> Call {
-    request("POST", "/chat/a", id)
+/// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has two
+/// parts of its own.
+fn chat_request(id: &str) -> Call {
+    build_request("POST", "/chat/a", id)
         .with("X-Token-Usage", "1000,1000")
         .with("X-Prompt-Prefix", &format!("a:100,{id}:800,{id}1:100"))
         .body("Which verse is older?")
 }
 
-fn show(what: &str, time: Duration, count: u32) {
-    println!("processor time of a {what}: {:.1} us", time.as_secs_f64() * 1e6 / f64::from(count));
+/// Prints the average processor time of `count` operations that took `time` together.
+fn print_processor_time(operation: &str, time: Duration, count: u32) {
+    println!(
+        "processor time of a {operation}: {:.1} us",
+        time.as_secs_f64() * 1e6 / f64::from(count)
+    );
 }
 
-/// Returns the processor time of a process, in user and kernel mode.
-fn processor_time(process: u32) -> Result<Duration, Box<dyn Error>> {
-    let schedule = std::fs::read_to_string(format!("/proc/{process}/schedstat"))?;
-    let nanoseconds = schedule.split_whitespace().next().ok_or("no time of the process")?;
+/// Returns the processor time that a process has used, in user and kernel mode.
+fn processor_time(process_id: u32) -> Result<Duration, Box<dyn Error>> {
+    let schedstat = std::fs::read_to_string(format!("/proc/{process_id}/schedstat"))?;
+    let nanoseconds =
+        schedstat.split_whitespace().next().ok_or("the schedstat file of the router is empty")?;
     Ok(Duration::from_nanos(nanoseconds.parse()?))
 }
 
-/// Returns the resident memory of a process.
-fn memory_mb(process: u32) -> Result<f64, Box<dyn Error>> {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
-    let line = status.lines().find(|line| line.starts_with("VmRSS:")).ok_or("no memory")?;
-    let kilobytes: f64 = line.split_whitespace().nth(1).ok_or("no memory")?.parse()?;
+/// Returns the resident memory of a process in MiB.
+fn memory_mb(process_id: u32) -> Result<f64, Box<dyn Error>> {
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status"))?;
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .ok_or("the status file of the router has no VmRSS")?;
+    let kilobytes: f64 =
+        line.split_whitespace().nth(1).ok_or("VmRSS of the router has no value")?.parse()?;
     Ok(kilobytes / 1024.0)
 }
