--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -1,5 +1,7 @@
-//! Shows the main job with stand-ins: chats that return, reuse their cache, and outlive a router's
-//! planned stop. Ends with exit code 0 only when every chat was answered whole.
+//! Demonstrates the router with simulated engines: chats whose later turns reuse the prompt cache of
+//! their engine, and which go on while a router is stopped. The exit code is 0 only if every turn got
+//! a complete response, the stopped router exited without an error, and the turns reused more prompt
+//! tokens than the engines had to read.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -13,14 +15,14 @@
 use teaselworks_standin::program::main_of;
 use teaselworks_standin::router::{Program, Router};
 
-/// Chats held.
+/// Number of chats.
 const CHATS: u32 = 8;
 /// Turns of each chat.
 const TURNS: u32 = 4;
-/// Events of each answer.
+/// Events of each response.
 const EVENTS: u32 = 12;
-/// Time between events.
-const GAP: Duration = Duration::from_millis(5);
+/// Time between two events of a response.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
 fn main() -> ExitCode {
     main_of(run)
@@ -30,42 +32,44 @@
     let mut fleet = Fleet::start(Program::binary(std::env::current_exe()?), 3).await?;
     let caches = [Cache::default(), Cache::default()];
     for (engine, cache) in fleet.engines.iter().zip(&caches) {
-        engine.set_behaviour(behaviour(cache.clone(), EVENTS, GAP));
+        engine.set_behaviour(behaviour(cache.clone(), EVENTS, EVENT_INTERVAL));
     }
     println!("3 routers, 2 engines; {CHATS} chats of {TURNS} turns, each turn at another router");
     for turn in 0..TURNS {
         if turn == TURNS / 2 {
-            println!("router-0 gets SIGTERM; the others go on");
+            println!("router-0 is stopped with SIGTERM; the other routers go on");
             fleet.routers[0].signal(Signal::SIGTERM)?;
         }
         for chat in 0..CHATS {
-            let running = if turn < TURNS / 2 { 0 } else { 1 };
-            let routers: &[Router] = &fleet.routers[running..];
+            let first_running = if turn < TURNS / 2 { 0 } else { 1 };
+            let routers: &[Router] = &fleet.routers[first_running..];
             let router = &routers[(chat + turn) as usize % routers.len()];
-            hold_turn(router, chat, turn).await?;
+            send_turn(router, chat, turn).await?;
         }
     }
     let status = fleet.routers[0].ended().await?;
     if !status.success() {
         return Err(format!("router-0 ended with {status}").into());
     }
-    let mut read = 0;
-    let mut reused = 0;
+    let mut read_tokens = 0;
+    let mut reused_tokens = 0;
     for (engine, cache) in fleet.engines.iter().zip(&caches) {
         let tokens = cache.tokens();
         println!("{}: {} prompt tokens read, {} reused", engine.id, tokens.read, tokens.reused);
-        read += tokens.read;
-        reused += tokens.reused;
+        read_tokens += tokens.read;
+        reused_tokens += tokens.reused;
     }
     println!("all {} turns answered whole", CHATS * TURNS);
-    if reused <= read {
-        return Err("chats that returned did not find their cache".into());
+    if reused_tokens <= read_tokens {
+        return Err("the turns reused no more prompt tokens than the engines had to read".into());
     }
     Ok(())
 }
 
-/// Holds one turn: the prompt is the workspace's instructions, the chat so far, and the new line.
-async fn hold_turn(router: &Router, chat: u32, turn: u32) -> Result<(), Box<dyn Error>> {
+/// Sends one turn of a chat and checks that the response is complete. The prompt consists of the
+/// workspace's instructions, which all chats share, the start of the chat, which its turns share, and
+/// a part of the turn's own.
+async fn send_turn(router: &Router, chat: u32, turn: u32) -> Result<(), Box<dyn Error>> {
     let prefix = format!("a:400,{:x}:1200,{:x}:60", 0x100 + chat, 0x10_000 + chat * TURNS + turn);
     let request = Call::new("POST", HOST, "/gloss/verse", &format!("{chat}-{turn}"))
         .key(KEY)
@@ -78,7 +82,11 @@
     let expected: Vec<u32> = (1..=EVENTS).collect();
     if reply.status() != 200 || !reply.body.is_whole || reply.events() != expected {
         let events = reply.events();
-        return Err(format!("chat {chat}, turn {turn}: {} {events:?}", reply.status()).into());
+        return Err(format!(
+            "chat {chat}, turn {turn}: incomplete response, status {}, events {events:?}",
+            reply.status()
+        )
+        .into());
     }
     Ok(())
 }
--- a/teaselworks_standin/tests/demo.rs
+++ b/teaselworks_standin/tests/demo.rs
@@ -1,11 +1,12 @@
-//! The demonstration ends well.
+//! Runs the demonstration.
 
 use std::process::Command;
 
+/// Guards against a demonstration that fails, or that succeeds without having run all its turns.
 #[test]
-fn every_chat_of_the_demonstration_is_answered_whole() {
+fn demonstration_answers_every_turn_completely() {
     let output = Command::new(env!("CARGO_BIN_EXE_demo")).output().unwrap();
-    let told = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success(), "{told}{}", String::from_utf8_lossy(&output.stderr));
-    assert!(told.contains("all 32 turns answered whole"), "{told}");
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success(), "{stdout}{}", String::from_utf8_lossy(&output.stderr));
+    assert!(stdout.contains("all 32 turns answered whole"), "{stdout}");
 }
