--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -127,8 +127,8 @@
     Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "60000")
 }
 
-/// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has two
-/// parts of its own.
+/// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has
+/// two parts of its own.
 fn chat_request(id: &str) -> Call {
     build_request("POST", "/chat/a", id)
         .with("X-Token-Usage", "1000,1000")
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -1,7 +1,7 @@
-//! Demonstrates the router with simulated engines: chats whose later turns reuse the prompt cache of
-//! their engine, and which go on while a router is stopped. The exit code is 0 only if every turn got
-//! a complete response, the stopped router exited without an error, and the turns reused more prompt
-//! tokens than the engines had to read.
+//! Demonstrates the router with simulated engines: chats whose later turns reuse the prompt cache
+//! of their engine, and which go on while a router is stopped. The exit code is 0 only if every
+//! turn got a complete response, the stopped router exited without an error, and the turns reused
+//! more prompt tokens than the engines had to read.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -67,8 +67,8 @@
 }
 
 /// Sends one turn of a chat and checks that the response is complete. The prompt consists of the
-/// workspace's instructions, which all chats share, the start of the chat, which its turns share, and
-/// a part of the turn's own.
+/// workspace's instructions, which all chats share, the start of the chat, which its turns share,
+/// and a part of the turn's own.
 async fn send_turn(router: &Router, chat: u32, turn: u32) -> Result<(), Box<dyn Error>> {
     let prefix = format!("a:400,{:x}:1200,{:x}:60", 0x100 + chat, 0x10_000 + chat * TURNS + turn);
     let request = Call::new("POST", HOST, "/gloss/verse", &format!("{chat}-{turn}"))
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -336,8 +336,8 @@
         }
         Fault::SuspendRouter(router) => fleet.routers[router].process.signal(Signal::SIGCONT)?,
         Fault::ReplaceReplica(number) => {
-            // The new replica, the last of the list, takes the index of the removed one, so that the
-            // indexes of all other replicas stay.
+            // The new replica, the last of the list, takes the index of the removed one, so that
+            // the indexes of all other replicas stay.
             let removed = fleet.replicas.swap_remove(number);
             fleet.unlist(&removed.upstream.id);
         }
