--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -67,8 +67,10 @@
             );
             Script::of(vec![Step::Write(head.into_bytes())])
         }),
-        ("a promise that is none", |received| Script::whole(received, 503, "failed while running")),
-        ("another promise", |received| Script::whole(received, 429, "failed while running")),
+        ("a promise that is none", |received| {
+            Script::response(received, 503, "failed while running")
+        }),
+        ("another promise", |received| Script::response(received, 429, "failed while running")),
     ];
     for (number, (name, ending)) in endings.into_iter().enumerate() {
         services(&fleet, ending);
@@ -88,7 +90,7 @@
 #[tokio::test]
 async fn a_failure_is_passed_on_with_its_status_and_signature() {
     let fleet = fleet(1).await;
-    services(&fleet, |received| Script::whole(received, 500, "out of ink"));
+    services(&fleet, |received| Script::response(received, 500, "out of ink"));
     let reply = answered(&fleet, request("POST", "/write/a", "f1")).await;
     assert_eq!((reply.status(), reply.text().as_str()), (500, "out of ink"));
     assert_eq!(reply.head.header("x-server-stamp"), Some("stamp-f1"));
@@ -100,7 +102,7 @@
 async fn idempotent_requests_are_answered_by_another_replica() {
     let failures: Vec<Behaviour> = vec![
         |_| Script::of(vec![Step::Reset]),
-        |received| Script::whole(received, 500, "out of ink"),
+        |received| Script::response(received, 500, "out of ink"),
         |_| Script::of(vec![Step::Write(answer("other", 200, "a verse"))]),
         |received| Script::rejected(received),
         |received| Script::misdirected(received, "i-9"),
@@ -233,7 +235,7 @@
 #[tokio::test]
 async fn a_quiet_connection_is_used_again() {
     let fleet = fleet(1).await;
-    services(&fleet, |received| Script::whole(received, 200, "a verse"));
+    services(&fleet, |received| Script::response(received, 200, "a verse"));
     for turn in 0..40 {
         let reply = answered(&fleet, request("POST", "/write/a", &format!("q{turn}"))).await;
         assert_eq!(reply.status(), 200);
@@ -271,7 +273,7 @@
 #[tokio::test]
 async fn an_early_answer_leaves_no_half_sent_body_behind() {
     let fleet = fleet(1).await;
-    services(&fleet, |received| Script::whole(received, 413, "too long for me"));
+    services(&fleet, |received| Script::response(received, 413, "too long for me"));
     let body = "x".repeat(700_000);
     for turn in 0..4 {
         let id = format!("early{turn}");
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -249,7 +249,7 @@
     }
     fleet.routers[0].logged("upstream_draining", 2).await.unwrap();
     let added =
-        Upstream::start("service-3", |received| Script::whole(received, 200, "new")).unwrap();
+        Upstream::start("service-3", |received| Script::response(received, 200, "new")).unwrap();
     fleet.list(&added, ARCHIVE, "ready");
     answers(&fleet.routers[0], "/read/a", 200).await;
     assert!(!added.received_requests().is_empty());
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -246,7 +246,7 @@
     }
     router.logged("request_placed", 48).await.unwrap();
     for service in &fleet.services {
-        service.set_behaviour(|received| Script::whole(received, 200, "a verse"));
+        service.set_behaviour(|received| Script::response(received, 200, "a verse"));
     }
     let mut late = Connection::open(router.callers()).await.unwrap();
     late.send(&request("GET", "/read/a", "late")).await.unwrap();
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -92,7 +92,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     proxy.stall();
-    fleet.services[0].set_behaviour(|received| Script::whole(received, 200, "a verse"));
+    fleet.services[0].set_behaviour(|received| Script::response(received, 200, "a verse"));
     fleet.services[0].restart().await.unwrap();
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
     let since = Instant::now();
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -49,7 +49,7 @@
         let stream = |received: &ReceivedRequest| {
             Script::stream(received, 1..6, Duration::from_millis(1), true)
         };
-        let whole = |received: &ReceivedRequest| Script::whole(received, 200, "a verse");
+        let whole = |received: &ReceivedRequest| Script::response(received, 200, "a verse");
         let engines =
             vec![Upstream::start("engine-1", stream)?, Upstream::start("engine-2", stream)?];
         let services =
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -68,7 +68,7 @@
 
 impl Script {
     /// Answers whole, signed, with the identifier of the request.
-    pub fn whole(received: &ReceivedRequest, status: u16, body: &str) -> Self {
+    pub fn response(received: &ReceivedRequest, status: u16, body: &str) -> Self {
         Self::of(vec![Step::Write(answer(received.id(), status, body))])
     }
 
