--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -10,7 +10,7 @@
 use teaselworks_standin::configuration::{ARCHIVE, Plan};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{
-    ReceivedRequest, Script, Step, answer, chunk, event, stream_head,
+    ReceivedRequest, Script, Step, chunk, event, response_bytes, stream_head,
 };
 
 const GAP: Duration = Duration::from_millis(1);
@@ -54,7 +54,7 @@
             Script::from_steps(vec![Step::Write(b"HTTP/1.1 200 O".to_vec()), Step::Close])
         }),
         ("cut in the body", |received| {
-            let mut bytes = answer(received.id(), 200, "a verse");
+            let mut bytes = response_bytes(received.id(), 200, "a verse");
             bytes.truncate(bytes.len() - 3);
             Script::from_steps(vec![Step::Write(bytes), Step::Close])
         }),
@@ -62,7 +62,7 @@
             Script::from_steps(vec![Step::Write(b"\x16\x03\x01 garbage\r\n\r\n".to_vec())])
         }),
         ("another's answer", |_| {
-            Script::from_steps(vec![Step::Write(answer("other", 200, "a verse"))])
+            Script::from_steps(vec![Step::Write(response_bytes("other", 200, "a verse"))])
         }),
         ("unsigned", |received| {
             let head = format!(
@@ -107,7 +107,7 @@
     let failures: Vec<Behaviour> = vec![
         |_| Script::from_steps(vec![Step::Reset]),
         |received| Script::response(received, 500, "out of ink"),
-        |_| Script::from_steps(vec![Step::Write(answer("other", 200, "a verse"))]),
+        |_| Script::from_steps(vec![Step::Write(response_bytes("other", 200, "a verse"))]),
         |received| Script::rejected(received),
         |received| Script::misdirected(received, "i-9"),
     ];
@@ -176,9 +176,11 @@
 async fn extra_answers_reach_nobody() {
     let fleet = fleet(1).await;
     services(&fleet, |received| {
-        let twice =
-            [answer(received.id(), 200, "a verse"), answer(received.id(), 200, "a stranger")]
-                .concat();
+        let twice = [
+            response_bytes(received.id(), 200, "a verse"),
+            response_bytes(received.id(), 200, "a stranger"),
+        ]
+        .concat();
         Script::from_steps(vec![Step::Write(twice)])
     });
     for turn in 0..6 {
@@ -186,8 +188,8 @@
         assert_eq!((reply.status(), reply.text().as_str()), (200, "a verse"));
     }
     services(&fleet, |received| {
-        let late = Step::Write(answer("e0", 200, "a stranger"));
-        let own = Step::Write(answer(received.id(), 200, "a verse"));
+        let late = Step::Write(response_bytes("e0", 200, "a stranger"));
+        let own = Step::Write(response_bytes(received.id(), 200, "a verse"));
         if received.connection % 2 == 0 {
             Script::from_steps(vec![late, own])
         } else {
@@ -206,12 +208,13 @@
 #[tokio::test]
 async fn a_connection_that_changed_while_idle_is_not_used_again() {
     let fleet = fleet(1).await;
-    for (turn, step) in [Step::Close, Step::Reset, Step::Write(answer("0", 200, "a stranger"))]
-        .into_iter()
-        .enumerate()
+    for (turn, step) in
+        [Step::Close, Step::Reset, Step::Write(response_bytes("0", 200, "a stranger"))]
+            .into_iter()
+            .enumerate()
     {
         services(&fleet, move |received| {
-            let own = Step::Write(answer(received.id(), 200, "a verse"));
+            let own = Step::Write(response_bytes(received.id(), 200, "a verse"));
             Script::from_steps(vec![own, Step::Pause(GAP * 10), step.clone()])
         });
         for attempt in 0..6 {
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -15,7 +15,9 @@
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
 use crate::store::{Mode, Store};
-use crate::upstream::{ReceivedRequest, Script, Step, Upstream, answer, chunk, stream_head};
+use crate::upstream::{
+    ReceivedRequest, Script, Step, Upstream, chunk, response_bytes, stream_head,
+};
 
 /// Replicas of each service.
 const REPLICAS_PER_SERVICE: usize = 3;
@@ -125,7 +127,7 @@
     let mut steps = Vec::new();
     if service == ARCHIVE {
         steps.push(Step::Pause(EVENT_INTERVAL));
-        steps.push(Step::Write(answer(id, 200, &response_body(id))));
+        steps.push(Step::Write(response_bytes(id, 200, &response_body(id))));
     } else {
         let last =
             received.head.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
@@ -143,7 +145,9 @@
         ReplicaMode::Healthy | ReplicaMode::RejectsRequests => {}
         ReplicaMode::ResetsConnections => steps = vec![Step::Pause(EVENT_INTERVAL), Step::Reset],
         ReplicaMode::NeverResponds => steps = vec![Step::Silence],
-        ReplicaMode::RespondsTwice => steps.push(Step::Write(answer(id, 200, &response_body(id)))),
+        ReplicaMode::RespondsTwice => {
+            steps.push(Step::Write(response_bytes(id, 200, &response_body(id))))
+        }
         ReplicaMode::TruncatesResponses => {
             steps.truncate(3);
             if let Some(Step::Write(bytes)) = steps.last_mut() {
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -69,7 +69,7 @@
 impl Script {
     /// Answers whole, signed, with the identifier of the request.
     pub fn response(received: &ReceivedRequest, status: u16, body: &str) -> Self {
-        Self::from_steps(vec![Step::Write(answer(received.id(), status, body))])
+        Self::from_steps(vec![Step::Write(response_bytes(received.id(), status, body))])
     }
 
     /// Runs the request and takes these steps.
@@ -123,7 +123,7 @@
 }
 
 /// Returns a whole signed answer.
-pub fn answer(id: &str, status: u16, body: &str) -> Vec<u8> {
+pub fn response_bytes(id: &str, status: u16, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} Text\r\nx-request-id: {id}\r\nx-server-stamp: stamp-{id}\r\n\
          content-length: {}\r\n\r\n{body}",
