--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -81,7 +81,7 @@
         let upstream = Upstream::start(id, move |received| {
             let mode = *current.lock().expect("the lock of the mode is never poisoned");
             let script = response_script(received, service, mode, recorder.simulated_bug);
-            recorder.record_arrival(received.id(), &name, script.runs);
+            recorder.record_arrival(received.id(), &name, script.is_run);
             script
         })?;
         let proxy = Proxy::start(upstream.address())?;
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -63,7 +63,7 @@
     /// Steps in order; afterwards the connection takes the next request.
     pub steps: Vec<Step>,
     /// The replica works on the request.
-    pub runs: bool,
+    pub is_run: bool,
 }
 
 impl Script {
@@ -74,7 +74,7 @@
 
     /// Runs the request and takes these steps.
     pub fn from_steps(steps: Vec<Step>) -> Self {
-        Self { steps, runs: true }
+        Self { steps, is_run: true }
     }
 
     /// Adds a step.
@@ -90,7 +90,7 @@
              content-length: 0\r\n\r\n",
             received.id()
         );
-        Self { steps: vec![Step::Write(head.into_bytes())], runs: false }
+        Self { steps: vec![Step::Write(head.into_bytes())], is_run: false }
     }
 
     /// Says that another replica has the address.
@@ -100,7 +100,7 @@
              content-length: 0\r\n\r\n",
             received.id()
         );
-        Self { steps: vec![Step::Write(head.into_bytes())], runs: false }
+        Self { steps: vec![Step::Write(head.into_bytes())], is_run: false }
     }
 
     /// Answers with events of a stream, and ends it as whole where `ends`.
@@ -309,7 +309,7 @@
         let mut received = ReceivedRequest { head, body, has_run: false, connection };
         let behaviour = lock(&state.behaviour).clone();
         let script = behaviour(&received);
-        received.has_run = script.runs;
+        received.has_run = script.is_run;
         let id = received.id().to_owned();
         lock(&state.received_requests).push(received);
         let played = tokio::select! {
