--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -36,7 +36,7 @@
 }
 
 fn runs(fleet: &Fleet, id: &str) -> usize {
-    fleet.services.iter().chain(&fleet.engines).map(|upstream| upstream.runs(id)).sum()
+    fleet.services.iter().chain(&fleet.engines).map(|upstream| upstream.run_count(id)).sum()
 }
 
 async fn answered(fleet: &Fleet, sent: teaselworks_standin::caller::Call) -> Reply {
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -127,7 +127,7 @@
     }
     fleet.routers[0].logged("upstream_suspended", 2).await.unwrap();
     let refused = call(address, &chat("/chat/a", "r", 2)).await.unwrap();
-    assert_eq!((refused.status(), fleet.engines[0].runs("r")), (503, 0));
+    assert_eq!((refused.status(), fleet.engines[0].run_count("r")), (503, 0));
     let reply = streaming.await.unwrap().unwrap();
     assert_eq!((reply.status(), reply.events().len()), (200, 20));
 }
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -310,5 +310,8 @@
     // The router may have closed the connection.
     let _ = connection.write(&smuggled).await;
     let _ = connection.reply().await;
-    assert_eq!(fleet.services.iter().map(|service| service.runs("smuggled")).sum::<usize>(), 0);
+    assert_eq!(
+        fleet.services.iter().map(|service| service.run_count("smuggled")).sum::<usize>(),
+        0
+    );
 }
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -48,7 +48,7 @@
     let broken = fleet.routers[0].logged("answer_broken", 1).await.unwrap();
     assert!(since.elapsed() < AT_ONCE, "{:?}", since.elapsed());
     assert_eq!(broken[0]["request"], "c1");
-    assert_eq!(fleet.engines[0].runs("c1"), 1);
+    assert_eq!(fleet.engines[0].run_count("c1"), 1);
 
     let reply = call(fleet.routers[0].callers(), &chat("/chat/a", "c2", 1)).await.unwrap();
     assert_eq!((reply.status(), reply.events()), (200, vec![1, 2, 3]));
@@ -61,7 +61,7 @@
     let proxy = silent_engine(&fleet).await;
     let address = fleet.routers[0].callers();
     let streaming = tokio::spawn(async move { call(address, &chat("/gloss/a", "g1", 1)).await });
-    while fleet.engines[0].runs("g1") == 0 {
+    while fleet.engines[0].run_count("g1") == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     fleet.engines[1].set_behaviour(|received| Script::stream(received, 2..6, Duration::ZERO, true));
@@ -88,7 +88,7 @@
     let waiting =
         tokio::spawn(async move { call(address, &request("POST", "/write/a", "w1")).await });
     fleet.routers[0].logged("request_placed", 1).await.unwrap();
-    while fleet.services[0].runs("w1") == 0 {
+    while fleet.services[0].run_count("w1") == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     proxy.stall();
@@ -98,7 +98,7 @@
     let since = Instant::now();
     assert_eq!(waiting.await.unwrap().unwrap().status(), 502);
     assert!(since.elapsed() < AT_ONCE, "{:?}", since.elapsed());
-    assert_eq!(fleet.services[0].runs("w1"), 1);
+    assert_eq!(fleet.services[0].run_count("w1"), 1);
 }
 
 /// Guards against a kept connection of an earlier start that carries a request of a later one.
@@ -117,7 +117,7 @@
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
     fleet.routers[0].logged("upstream_restarted", 1).await.unwrap();
     let reply = call(address, &request("POST", "/write/a", "w2")).await.unwrap();
-    assert_eq!((reply.status(), fleet.services[0].runs("w2")), (200, 1));
+    assert_eq!((reply.status(), fleet.services[0].run_count("w2")), (200, 1));
 }
 
 /// Guards against an entry of an earlier start, from a slow router, that undoes a later one.
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -51,7 +51,7 @@
     let refused = call(address, &chat("/chat/a", "a2", 2)).await.unwrap();
     assert_eq!(refused.status(), 503);
     assert!(refused.head.header("retry-after").is_some_and(|after| after != "0.000"));
-    assert_eq!(fleet.engines.iter().map(|engine| engine.runs("a2")).sum::<usize>(), 0);
+    assert_eq!(fleet.engines.iter().map(|engine| engine.run_count("a2")).sum::<usize>(), 0);
     let mut answered = fleet.routers[0].logged("request_answered", 5).await.unwrap();
     let stream = answered.pop().unwrap();
     assert_eq!((stream["request"].as_str(), stream["status"].as_u64()), (Some("a1"), Some(200)));
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -240,7 +240,7 @@
     }
 
     /// Returns how often it ran the request of an identifier.
-    pub fn runs(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         self.received_requests()
             .iter()
             .filter(|received| received.has_run && received.id() == id)
