--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -199,7 +199,7 @@
     drop(waiting);
     let broken_off = || -> Vec<String> {
         let upstreams = fleet.engines.iter().chain(&fleet.services);
-        upstreams.flat_map(|upstream| upstream.broken_off()).collect()
+        upstreams.flat_map(|upstream| upstream.aborted_requests()).collect()
     };
     teaselworks_standin::fleet::until("both are ended", async || broken_off().len() == 2)
         .await
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -156,7 +156,7 @@
 struct State {
     behaviour: Mutex<Arc<Behaviour>>,
     received_requests: Mutex<Vec<ReceivedRequest>>,
-    broken_off: Mutex<Vec<String>>,
+    aborted_requests: Mutex<Vec<String>>,
 }
 
 /// A running replica.
@@ -186,7 +186,7 @@
         let state = State {
             behaviour: Mutex::new(Arc::new(behaviour)),
             received_requests: Mutex::default(),
-            broken_off: Mutex::default(),
+            aborted_requests: Mutex::default(),
         };
         let guard = PortGuard::take()?;
         let upstream = Self {
@@ -248,8 +248,8 @@
     }
 
     /// Returns the requests whose connection was closed while the replica worked on them.
-    pub fn broken_off(&self) -> Vec<String> {
-        lock(&self.state.broken_off).clone()
+    pub fn aborted_requests(&self) -> Vec<String> {
+        lock(&self.state.aborted_requests).clone()
     }
 
     /// Cuts every connection and refuses new ones.
@@ -316,7 +316,7 @@
             played = play(&mut writer, script.steps) => played,
             // Nothing arrives while the caller waits, unless it closes the connection.
             _ = messages.fill() => {
-                lock(&state.broken_off).push(id);
+                lock(&state.aborted_requests).push(id);
                 return;
             }
         };
