--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -83,7 +83,7 @@
         assert_eq!(reply.status(), 502, "{name}");
         assert_eq!(reply.head.header("x-server-stamp"), None, "{name}");
         assert_eq!(runs(&fleet, &id), 1, "{name}");
-        let failed = fleet.routers[0].logged("attempt_failed", number + 1).await.unwrap();
+        let failed = fleet.routers[0].wait_for_events("attempt_failed", number + 1).await.unwrap();
         assert_eq!(failed[number]["request"], id.as_str(), "{name}");
         assert!(
             ["broken", "foreign", "failed"].contains(&failed[number]["failure"].as_str().unwrap())
@@ -168,7 +168,7 @@
         let reply = answered(&fleet, request("POST", "/write/a", &format!("d{turn}"))).await;
         assert_eq!(reply.status(), 200);
     }
-    fleet.routers[0].logged("upstream_ejected", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_ejected", 1).await.unwrap();
 }
 
 /// Guards against a second answer on a kept connection that reaches the next caller.
@@ -365,7 +365,7 @@
             assert_eq!(reply.events(), [1, 2, 3, 4, 5], "{number}");
         }
     }
-    fleet.routers[0].logged("attempt_retried", 4).await.unwrap();
+    fleet.routers[0].wait_for_events("attempt_retried", 4).await.unwrap();
 }
 
 /// Guards against waiting for a silent replica until the deadline, where another may be asked.
@@ -403,7 +403,7 @@
     services(&fleet, |_| Script::from_steps(vec![Step::Silence]));
     let reply = answered(&fleet, request("POST", "/write/a", "t1")).await;
     assert_eq!(reply.status(), 504);
-    let refused = fleet.routers[0].logged("request_refused", 1).await.unwrap();
+    let refused = fleet.routers[0].wait_for_events("request_refused", 1).await.unwrap();
     let elapsed = refused[0]["elapsed_ms"].as_u64().unwrap();
     assert!(elapsed >= 300, "{elapsed}");
 }
@@ -422,7 +422,7 @@
         fleet.services.iter().map(|service| service.received_requests().len()).sum();
     assert!(arrivals > 100, "none was repeated");
     assert!(arrivals <= 100 + 10 + 10, "{arrivals}");
-    let refused = fleet.routers[0].logged("request_refused", 20).await.unwrap();
+    let refused = fleet.routers[0].wait_for_events("request_refused", 20).await.unwrap();
     assert!(refused.iter().any(|line| line["reason"] == "retry_budget"));
 }
 
--- a/teaselworks/tests/log.rs
+++ b/teaselworks/tests/log.rs
@@ -27,6 +27,6 @@
     }
     assert!(dropped(&router.metrics().await.unwrap()) > 0);
     router.set_reading(true);
-    let told = router.logged("request_answered", 1_000).await.unwrap();
+    let told = router.wait_for_events("request_answered", 1_000).await.unwrap();
     assert!(told.len() < REQUESTS as usize);
 }
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -55,7 +55,7 @@
     answers(&fleet.routers[0], "/new/a", 200).await;
     let older = Plan::default();
     fleet.store.put_json("op/config", &older.value);
-    fleet.routers[0].logged("configuration_stale", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("configuration_stale", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/new/a", "after").await, 200);
 }
 
@@ -65,7 +65,7 @@
     fleet.store.put("op/config", b"{ \"version\": 9, \"routes\": [ { \"name\": 7 } ] }");
     fleet.store.put("servers/service-1", b"\xff\xfe no json");
     fleet.store.put("servers/strange", b"{}");
-    let unreadable = fleet.routers[0].logged("value_unreadable", 3).await.unwrap();
+    let unreadable = fleet.routers[0].wait_for_events("value_unreadable", 3).await.unwrap();
     assert!(unreadable[0]["cause"].as_str().unwrap().contains("routes[0].name"));
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
 }
@@ -82,7 +82,7 @@
     let mut bad = good(&fleet);
     bad["state"] = json!("resting");
     fleet.store.put_json("servers/service-1", &bad);
-    fleet.routers[0].logged("upstream_suspended", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_suspended", 1).await.unwrap();
 
     let store = fleet.store.address();
     let reader = Router::start(program(), "reader", store, &[], &json!({})).unwrap();
@@ -121,11 +121,11 @@
     }
     let address = fleet.routers[0].callers();
     let streaming = tokio::spawn(async move { call(address, &chat("/chat/a", "s", 1)).await });
-    fleet.routers[0].logged("request_placed", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("request_placed", 1).await.unwrap();
     for engine in &fleet.engines {
         fleet.store.put(&format!("servers/{}", engine.id), b"[]");
     }
-    fleet.routers[0].logged("upstream_suspended", 2).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_suspended", 2).await.unwrap();
     let refused = call(address, &chat("/chat/a", "r", 2)).await.unwrap();
     assert_eq!((refused.status(), fleet.engines[0].run_count("r")), (503, 0));
     let reply = streaming.await.unwrap().unwrap();
@@ -153,12 +153,12 @@
     for mode in [Mode::Busy, Mode::Silent] {
         fleet.store.set_mode(mode);
         let lost = fleet.routers[0].events("store_lost").len();
-        fleet.routers[0].logged("store_lost", lost + 1).await.unwrap();
+        fleet.routers[0].wait_for_events("store_lost", lost + 1).await.unwrap();
         assert_eq!(status(&fleet.routers[0], "/read/a", "away").await, 200);
         assert!(fleet.routers[0].is_ready().await);
         let regained = fleet.routers[0].events("store_regained").len();
         fleet.store.set_mode(Mode::Serving);
-        fleet.routers[0].logged("store_regained", regained + 1).await.unwrap();
+        fleet.routers[0].wait_for_events("store_regained", regained + 1).await.unwrap();
     }
     new_route(&mut fleet);
     answers(&fleet.routers[0], "/new/a", 200).await;
@@ -172,7 +172,7 @@
     router.ready().await.unwrap();
     proxy.set_frozen(true);
     proxy.cut();
-    router.logged("store_lost", 1).await.unwrap();
+    router.wait_for_events("store_lost", 1).await.unwrap();
     (proxy, router)
 }
 
@@ -185,7 +185,7 @@
     fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
     fleet.publish();
     answers(&router, "/read/a", 401).await;
-    assert!(!router.logged("peer_answered", 1).await.unwrap().is_empty());
+    assert!(!router.wait_for_events("peer_answered", 1).await.unwrap().is_empty());
 }
 
 /// Guards against a router that serves nothing, since the store turned it away at its start.
@@ -218,15 +218,15 @@
 async fn changes_in_forgotten_history_are_read_again() {
     let mut fleet = fleet(1).await;
     fleet.store.set_mode(Mode::Busy);
-    fleet.routers[0].logged("store_lost", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     new_route(&mut fleet);
     fleet.list(&fleet.services[0], ARCHIVE, "draining");
     fleet.unlist("service-2");
     fleet.store.compact();
     fleet.store.set_mode(Mode::Serving);
-    fleet.routers[0].logged("history_lost", 1).await.unwrap();
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
-    fleet.routers[0].logged("upstream_gone", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("history_lost", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_gone", 1).await.unwrap();
     answers(&fleet.routers[0], "/new/a", 503).await;
 }
 
@@ -234,7 +234,7 @@
 async fn a_draining_replica_finishes_and_gets_nothing_new() {
     let fleet = fleet(1).await;
     fleet.list(&fleet.services[0], ARCHIVE, "draining");
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     for turn in 0..10 {
         assert_eq!(status(&fleet.routers[0], "/read/a", &format!("d{turn}")).await, 200);
     }
@@ -247,7 +247,7 @@
     for service in &fleet.services {
         fleet.list(service, ARCHIVE, "draining");
     }
-    fleet.routers[0].logged("upstream_draining", 2).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 2).await.unwrap();
     let added =
         Upstream::start("service-3", |received| Script::response(received, 200, "new")).unwrap();
     fleet.list(&added, ARCHIVE, "ready");
@@ -260,17 +260,17 @@
 async fn entries_that_lapsed_in_an_outage_are_used_until_they_are_back() {
     let fleet = fleet(1).await;
     fleet.store.set_mode(Mode::Busy);
-    fleet.routers[0].logged("store_lost", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for service in &fleet.services {
         fleet.unlist(&service.id);
     }
     fleet.store.set_mode(Mode::Serving);
-    fleet.routers[0].logged("upstream_missing", 2).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_missing", 2).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "missing").await, 200);
     fleet.list(&fleet.services[0], ARCHIVE, "ready");
     // The other one does not come back.
-    fleet.routers[0].logged("upstream_gone", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_gone", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
 }
 
@@ -282,9 +282,9 @@
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     proxy.cut();
     proxy.set_frozen(false);
-    router.logged("store_regained", 1).await.unwrap();
+    router.wait_for_events("store_regained", 1).await.unwrap();
     fleet.unlist("service-1");
-    router.logged("upstream_gone", 1).await.unwrap();
+    router.wait_for_events("upstream_gone", 1).await.unwrap();
     assert!(router.events("upstream_missing").is_empty());
 }
 
@@ -293,7 +293,7 @@
     let fleet = fleet(3).await;
     assert_eq!(fleet.store.keys("routers/").len(), 3);
     for router in &fleet.routers {
-        assert!(!router.logged("registered", 1).await.unwrap().is_empty());
+        assert!(!router.wait_for_events("registered", 1).await.unwrap().is_empty());
     }
 }
 
@@ -306,12 +306,12 @@
     let mut plan = Plan::default();
     store.put_json("op/config", &plan.value);
     let router = Router::start(program(), "router-0", link.address(), &[], &json!({})).unwrap();
-    router.logged("configuration_in_force", 1).await.unwrap();
+    router.wait_for_events("configuration_in_force", 1).await.unwrap();
     link.set_faults(|faults| faults.backward.bytes_per_s = Some(150_000));
     for number in 0..2_000 {
         plan.route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
     }
     plan.next_version();
     store.put_json("op/config", &plan.value);
-    router.logged("configuration_in_force", 2).await.unwrap();
+    router.wait_for_events("configuration_in_force", 2).await.unwrap();
 }
--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -60,7 +60,7 @@
     }
     add_route(&mut fleet, "/large/").await;
     for router in &fleet.routers {
-        let in_force = router.logged("configuration_in_force", 2).await.unwrap();
+        let in_force = router.wait_for_events("configuration_in_force", 2).await.unwrap();
         assert_eq!(in_force.last().unwrap()["source"], "store");
     }
     add_route(&mut fleet, "/larger/").await;
@@ -92,7 +92,7 @@
         let Some((number, router)) = others.next() else { return false };
         let id = format!("o{number}");
         call(router.callers(), &request("GET", "/read/a", &id)).await.unwrap();
-        let placed = router.logged("request_placed", 1).await.unwrap();
+        let placed = router.wait_for_events("request_placed", 1).await.unwrap();
         placed[0]["report_age_ms"] != "-1"
     })
     .await
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -204,7 +204,7 @@
     teaselworks_standin::fleet::until("both are ended", async || broken_off().len() == 2)
         .await
         .unwrap();
-    fleet.routers[0].logged("caller_left", 2).await.unwrap();
+    fleet.routers[0].wait_for_events("caller_left", 2).await.unwrap();
 }
 
 #[tokio::test]
@@ -244,7 +244,7 @@
         connection.send(&request("POST", "/write/a", &format!("c{number}"))).await.unwrap();
         open.push(connection);
     }
-    router.logged("request_placed", 48).await.unwrap();
+    router.wait_for_events("request_placed", 48).await.unwrap();
     for service in &fleet.services {
         service.set_behaviour(|received| Script::response(received, 200, "a verse"));
     }
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -19,7 +19,7 @@
     let proxy = Proxy::start(fleet.engines[0].address()).unwrap();
     fleet.list(&fleet.engines[1], CHAT, "draining");
     fleet.list_at(&fleet.engines[0], proxy.address(), CHAT, "ready");
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.engines[0].set_behaviour(|received| {
         let first = [stream_head(received.id()), chunk(&event(1))].concat();
         Script::from_steps(vec![Step::Write(first), Step::Silence])
@@ -45,7 +45,7 @@
 
     restart_behind_the_cut(&fleet, &proxy).await;
     let since = Instant::now();
-    let broken = fleet.routers[0].logged("answer_broken", 1).await.unwrap();
+    let broken = fleet.routers[0].wait_for_events("answer_broken", 1).await.unwrap();
     assert!(since.elapsed() < AT_ONCE, "{:?}", since.elapsed());
     assert_eq!(broken[0]["request"], "c1");
     assert_eq!(fleet.engines[0].run_count("c1"), 1);
@@ -66,11 +66,11 @@
     }
     fleet.engines[1].set_behaviour(|received| Script::stream(received, 2..6, Duration::ZERO, true));
     fleet.list(&fleet.engines[1], CHAT, "ready");
-    fleet.routers[0].logged("upstream_serving", 6).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_serving", 6).await.unwrap();
     restart_behind_the_cut(&fleet, &proxy).await;
     let reply = streaming.await.unwrap().unwrap();
     assert_eq!((reply.status(), reply.events()), (200, vec![1, 2, 3, 4, 5]));
-    let retried = fleet.routers[0].logged("attempt_retried", 1).await.unwrap();
+    let retried = fleet.routers[0].wait_for_events("attempt_retried", 1).await.unwrap();
     assert_eq!((retried.len(), retried[0]["reason"].as_str()), (1, Some("resumed")));
     assert_eq!(fleet.engines[1].received_requests()[0].head.header("last-event-id"), Some("1"));
 }
@@ -82,12 +82,12 @@
     let proxy = Proxy::start(fleet.services[0].address()).unwrap();
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
     let address = fleet.routers[0].callers();
     let waiting =
         tokio::spawn(async move { call(address, &request("POST", "/write/a", "w1")).await });
-    fleet.routers[0].logged("request_placed", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("request_placed", 1).await.unwrap();
     while fleet.services[0].run_count("w1") == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -108,14 +108,14 @@
     let proxy = Proxy::start(fleet.services[0].address()).unwrap();
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let address = fleet.routers[0].callers();
     assert_eq!(call(address, &request("POST", "/write/a", "w1")).await.unwrap().status(), 200);
 
     proxy.stall();
     fleet.services[0].restart().await.unwrap();
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
-    fleet.routers[0].logged("upstream_restarted", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     let reply = call(address, &request("POST", "/write/a", "w2")).await.unwrap();
     assert_eq!((reply.status(), fleet.services[0].run_count("w2")), (200, 1));
 }
@@ -132,11 +132,11 @@
     );
     fleet.services[0].restart().await.unwrap();
     fleet.list(&fleet.services[0], ARCHIVE, "ready");
-    fleet.routers[0].logged("upstream_restarted", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     fleet.store.put_json("servers/service-1", &earlier);
-    fleet.routers[0].logged("upstream_stale", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_stale", 1).await.unwrap();
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
-    fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!((reply.status(), fleet.services[0].received_requests().len()), (200, 1));
 }
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -35,7 +35,7 @@
     assert_eq!(kept.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
 
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
-    fleet.routers[0].logged("stop_requested", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("stop_requested", 1).await.unwrap();
     assert!(!fleet.routers[0].is_ready().await);
     let reply = kept.call(&request("GET", "/read/a", "2")).await.unwrap().unwrap();
     assert_eq!(reply.status(), 200);
@@ -45,14 +45,14 @@
         .await
         .unwrap();
 
-    fleet.routers[0].logged("finishing", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("finishing", 1).await.unwrap();
     let short = call(address, &short("4")).await.unwrap();
     assert_eq!((short.status(), short.head.header("connection")), (200, Some("close")));
     let refused = call(address, &chat("/chat/a", "a2", 2)).await.unwrap();
     assert_eq!(refused.status(), 503);
     assert!(refused.head.header("retry-after").is_some_and(|after| after != "0.000"));
     assert_eq!(fleet.engines.iter().map(|engine| engine.run_count("a2")).sum::<usize>(), 0);
-    let mut answered = fleet.routers[0].logged("request_answered", 5).await.unwrap();
+    let mut answered = fleet.routers[0].wait_for_events("request_answered", 5).await.unwrap();
     let stream = answered.pop().unwrap();
     assert_eq!((stream["request"].as_str(), stream["status"].as_u64()), (Some("a1"), Some(200)));
     assert!(fleet.routers[0].ended().await.unwrap().success());
@@ -78,7 +78,7 @@
         router.signal(Signal::SIGTERM).unwrap();
     }
     for router in &fleet.routers {
-        router.logged("finishing", 1).await.unwrap();
+        router.wait_for_events("finishing", 1).await.unwrap();
     }
     for turn in 0..20 {
         let address = addresses[turn % addresses.len()];
@@ -91,7 +91,7 @@
     }
     for router in &mut fleet.routers {
         assert!(router.ended().await.unwrap().success());
-        assert_eq!(router.logged("router_stopped", 1).await.unwrap()[0]["cut"], 0);
+        assert_eq!(router.wait_for_events("router_stopped", 1).await.unwrap()[0]["cut"], 0);
     }
 }
 
@@ -100,7 +100,7 @@
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
     assert!(fleet.routers[0].ended().await.unwrap().success());
-    let stopped = fleet.routers[0].logged("router_stopped", 1).await.unwrap();
+    let stopped = fleet.routers[0].wait_for_events("router_stopped", 1).await.unwrap();
     assert_eq!(stopped[0]["cut"], 0);
 }
 
@@ -148,17 +148,17 @@
 async fn settings_are_read_again_with_a_signal_and_without() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGHUP).unwrap();
-    let reloaded = fleet.routers[0].logged("settings_reloaded", 1).await.unwrap();
+    let reloaded = fleet.routers[0].wait_for_events("settings_reloaded", 1).await.unwrap();
     assert_eq!(reloaded[0]["changed"], "false");
     fleet.routers[0]
         .change_settings(|settings| settings["bounds"]["retry_ratio"] = json!(-1))
         .unwrap();
-    let refused = fleet.routers[0].logged("settings_refused", 1).await.unwrap();
+    let refused = fleet.routers[0].wait_for_events("settings_refused", 1).await.unwrap();
     assert!(refused[0]["faults"].as_str().unwrap().contains("bounds.retry_ratio"));
     fleet.routers[0]
         .change_settings(|settings| settings["bounds"]["retry_ratio"] = json!(0.1))
         .unwrap();
-    let reloaded = fleet.routers[0].logged("settings_reloaded", 2).await.unwrap();
+    let reloaded = fleet.routers[0].wait_for_events("settings_reloaded", 2).await.unwrap();
     assert_eq!(reloaded[1]["changed"], "true");
     let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -114,8 +114,8 @@
         }
         fleet.plan.next_version();
         fleet.publish();
-        fleet.routers[0].logged("configuration_in_force", 2).await?;
-        fleet.routers[0].logged("upstream_serving", 4 + replicas).await?;
+        fleet.routers[0].wait_for_events("configuration_in_force", 2).await?;
+        fleet.routers[0].wait_for_events("upstream_serving", 4 + replicas).await?;
         tokio::time::sleep(Duration::from_secs(1)).await;
         let process_id = fleet.routers[0].id().ok_or("router-0 does not run")?;
         let memory_mb = memory_mb(process_id)?;
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -177,7 +177,7 @@
 
     /// Waits until an event was logged so many times, and returns the lines: the log is written a
     /// moment after what it tells of.
-    pub async fn logged(&self, name: &str, count: usize) -> io::Result<Vec<Value>> {
+    pub async fn wait_for_events(&self, name: &str, count: usize) -> io::Result<Vec<Value>> {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
             let events = self.events(name);
