--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -92,7 +92,7 @@
     let asker = Router::start(program(), "asker", proxy.address(), &seeds, &json!({})).unwrap();
     fleet.routers.extend([reader, asker]);
     for (number, router) in fleet.routers.iter().enumerate() {
-        router.ready().await.unwrap();
+        router.wait_until_ready().await.unwrap();
         for turn in 0..6 {
             assert_eq!(status(router, "/read/a", &format!("{number}-{turn}")).await, 200);
         }
@@ -142,7 +142,7 @@
     answers(&fleet.routers[0], "/new/a", 200).await;
     let store = fleet.store.address();
     let reader = Router::start(program(), "reader", store, &[], &json!({})).unwrap();
-    reader.ready().await.unwrap();
+    reader.wait_until_ready().await.unwrap();
     answers(&reader, "/new/a", 200).await;
 }
 
@@ -169,7 +169,7 @@
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     let seeds = [fleet.routers[0].peers()];
     let router = Router::start(program(), "apart", proxy.address(), &seeds, &json!({})).unwrap();
-    router.ready().await.unwrap();
+    router.wait_until_ready().await.unwrap();
     proxy.set_frozen(true);
     proxy.cut();
     router.wait_for_events("store_lost", 1).await.unwrap();
@@ -196,7 +196,7 @@
     proxy.set_frozen(true);
     let seeds = [fleet.routers[0].peers()];
     let router = Router::start(program(), "apart", proxy.address(), &seeds, &json!({})).unwrap();
-    router.ready().await.unwrap();
+    router.wait_until_ready().await.unwrap();
     assert_eq!(status(&router, "/read/a", "1").await, 200);
 }
 
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -226,7 +226,7 @@
     router.ended().await.unwrap();
     router.change_settings(|settings| settings["limits"]["file_descriptors"] = json!(64)).unwrap();
     router.spawn().unwrap();
-    router.ready().await.unwrap();
+    router.wait_until_ready().await.unwrap();
 }
 
 /// Guards against callers whose connections leave no descriptor to reach an upstream.
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -111,7 +111,7 @@
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
     fleet.routers[0].ended().await.unwrap();
     fleet.routers[0].spawn().unwrap();
-    fleet.routers[0].ready().await.unwrap();
+    fleet.routers[0].wait_until_ready().await.unwrap();
     let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
 }
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -69,7 +69,7 @@
             fleet.routers.push(Router::start(program.clone(), &name, store, &seeds, bounds)?);
         }
         for router in &fleet.routers {
-            router.ready().await?;
+            router.wait_until_ready().await?;
         }
         let names = routers;
         until("every router is registered", async || fleet.store.keys("routers/").len() == names)
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -197,7 +197,7 @@
     }
 
     /// Waits until the router is ready.
-    pub async fn ready(&self) -> io::Result<()> {
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
             if self.is_ready().await {
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -218,7 +218,7 @@
             fleet.routers.push(SoakRouter { process, store_proxy, restart_count: Arc::default() });
         }
         for router in &fleet.routers {
-            router.process.ready().await?;
+            router.process.wait_until_ready().await?;
         }
         Ok(fleet)
     }
@@ -271,7 +271,7 @@
             router.process.signal(Signal::SIGCONT)?;
         }
         for router in &self.routers {
-            router.process.ready().await?;
+            router.process.wait_until_ready().await?;
         }
         Ok(())
     }
