--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -223,7 +223,7 @@
 async fn with_few_descriptors(fleet: &mut Fleet) {
     let router = &mut fleet.routers[0];
     router.signal(nix::sys::signal::Signal::SIGKILL).unwrap();
-    router.ended().await.unwrap();
+    router.wait_for_exit().await.unwrap();
     router.change_settings(|settings| settings["limits"]["file_descriptors"] = json!(64)).unwrap();
     router.spawn().unwrap();
     router.wait_until_ready().await.unwrap();
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -55,7 +55,7 @@
     let mut answered = fleet.routers[0].wait_for_events("request_answered", 5).await.unwrap();
     let stream = answered.pop().unwrap();
     assert_eq!((stream["request"].as_str(), stream["status"].as_u64()), (Some("a1"), Some(200)));
-    assert!(fleet.routers[0].ended().await.unwrap().success());
+    assert!(fleet.routers[0].wait_for_exit().await.unwrap().success());
 }
 
 /// Guards against callers that are refused by one stopping router after the other.
@@ -90,7 +90,7 @@
         assert_eq!(stream.await.unwrap().unwrap().events().len(), 45);
     }
     for router in &mut fleet.routers {
-        assert!(router.ended().await.unwrap().success());
+        assert!(router.wait_for_exit().await.unwrap().success());
         assert_eq!(router.wait_for_events("router_stopped", 1).await.unwrap()[0]["cut"], 0);
     }
 }
@@ -99,7 +99,7 @@
 async fn an_idle_router_stops_before_its_grace_period_ends() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
-    assert!(fleet.routers[0].ended().await.unwrap().success());
+    assert!(fleet.routers[0].wait_for_exit().await.unwrap().success());
     let stopped = fleet.routers[0].wait_for_events("router_stopped", 1).await.unwrap();
     assert_eq!(stopped[0]["cut"], 0);
 }
@@ -109,7 +109,7 @@
 async fn a_killed_router_serves_again_after_its_start() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
-    fleet.routers[0].ended().await.unwrap();
+    fleet.routers[0].wait_for_exit().await.unwrap();
     fleet.routers[0].spawn().unwrap();
     fleet.routers[0].wait_until_ready().await.unwrap();
     let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
@@ -121,7 +121,7 @@
 async fn a_caller_at_the_start_waits_for_the_first_configuration() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
-    fleet.routers[0].ended().await.unwrap();
+    fleet.routers[0].wait_for_exit().await.unwrap();
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     proxy.set_frozen(true);
     let platform = json!(proxy.address());
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -47,7 +47,7 @@
             send_turn(router, chat, turn).await?;
         }
     }
-    let status = fleet.routers[0].ended().await?;
+    let status = fleet.routers[0].wait_for_exit().await?;
     if !status.success() {
         return Err(format!("router-0 ended with {status}").into());
     }
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -228,7 +228,7 @@
     }
 
     /// Waits until the process has ended.
-    pub async fn ended(&mut self) -> io::Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
             let Some(child) = &mut self.child else { break };
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -250,7 +250,7 @@
             continue;
         }
         recorder.observations().unexpected_exits.push((number, recorder.now()));
-        router.process.ended().await?;
+        router.process.wait_for_exit().await?;
         router.restart_count.fetch_add(1, Ordering::Relaxed);
         router.process.spawn()?;
         tokio::time::sleep(TICK).await;
@@ -328,7 +328,7 @@
             let router = &mut fleet.routers[router];
             // Like the platform, kills a router that still runs after its grace period.
             router.process.signal(Signal::SIGKILL)?;
-            router.process.ended().await?;
+            router.process.wait_for_exit().await?;
             router.restart_count.fetch_add(1, Ordering::Relaxed);
             router.process.spawn()?;
             // Until the new process has installed its signal handlers, any signal terminates it.
