--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -222,7 +222,7 @@
     }
 
     /// Tells whether the process has ended.
-    pub fn has_ended(&mut self) -> io::Result<bool> {
+    pub fn has_exited(&mut self) -> io::Result<bool> {
         let Some(child) = &mut self.child else { return Ok(true) };
         Ok(child.try_wait()?.is_some())
     }
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -246,7 +246,7 @@
     for (number, router) in fleet.routers.iter_mut().enumerate() {
         let target = router_target(number);
         let is_expected = active_faults.iter().any(|active| active.fault.target() == target);
-        if is_expected || !router.process.has_ended()? {
+        if is_expected || !router.process.has_exited()? {
             continue;
         }
         recorder.observations().unexpected_exits.push((number, recorder.now()));
