--- a/teaselworks/tests/log.rs
+++ b/teaselworks/tests/log.rs
@@ -18,7 +18,7 @@
 async fn a_reader_that_stands_still_stops_no_request() {
     let fleet = fleet(1).await;
     let router = &fleet.routers[0];
-    router.set_reading(false);
+    router.set_log_reading(false);
     let mut connection = Connection::open(router.callers()).await.unwrap();
     for number in 0..REQUESTS {
         let sent = request("GET", "/read/a", &format!("r{number}"));
@@ -26,7 +26,7 @@
         assert_eq!(reply.status(), 200, "{number}");
     }
     assert!(dropped(&router.metrics().await.unwrap()) > 0);
-    router.set_reading(true);
+    router.set_log_reading(true);
     let told = router.wait_for_events("request_answered", 1_000).await.unwrap();
     assert!(told.len() < REQUESTS as usize);
 }
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -161,7 +161,7 @@
     }
 
     /// Reads no more of the log, so that the pipe fills up, or reads on.
-    pub fn set_reading(&self, is_reading: bool) {
+    pub fn set_log_reading(&self, is_reading: bool) {
         self.is_reading.store(is_reading, Ordering::Relaxed);
     }
 
