--- a/teaselworks/tests/memory.rs
+++ b/teaselworks/tests/memory.rs
@@ -11,7 +11,7 @@
 
 /// Returns the private memory of the first router in KB.
 fn private_kb(fleet: &Fleet) -> u64 {
-    let process = fleet.routers[0].id().unwrap();
+    let process = fleet.routers[0].process_id().unwrap();
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("RssAnon:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -39,7 +39,7 @@
     measure_store_memory(&program).await?;
     let fleet = Fleet::start(program, 1).await?;
     let router = &fleet.routers[0];
-    let process_id = router.id().ok_or("router-0 does not run")?;
+    let process_id = router.process_id().ok_or("router-0 does not run")?;
     tokio::time::sleep(Duration::from_secs(1)).await;
     println!("memory idle: {:.1} MB", memory_mb(process_id)?);
 
@@ -117,7 +117,7 @@
         fleet.routers[0].wait_for_events("configuration_in_force", 2).await?;
         fleet.routers[0].wait_for_events("upstream_serving", 4 + replicas).await?;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let process_id = fleet.routers[0].id().ok_or("router-0 does not run")?;
+        let process_id = fleet.routers[0].process_id().ok_or("router-0 does not run")?;
         let memory_mb = memory_mb(process_id)?;
         println!("memory with {workspaces} workspaces, {replicas} replicas: {memory_mb:.1} MB");
     }
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns the process's identifier while it runs.
-    pub fn id(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
