--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -40,7 +40,7 @@
 }
 
 async fn answered(fleet: &Fleet, sent: teaselworks_standin::caller::Call) -> Reply {
-    call(fleet.routers[0].callers(), &sent).await.unwrap()
+    call(fleet.routers[0].callers_address(), &sent).await.unwrap()
 }
 
 /// Guards against a second run, and a refusal that promises none, after a replica broke off.
@@ -303,7 +303,7 @@
         ];
         Script::from_steps(steps)
     });
-    let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     connection.send(&chat("/chat/a", "b7", 1).with("X-Deadline-Ms", "1500")).await.unwrap();
     assert!(connection.head().await.unwrap().is_some());
 }
@@ -415,7 +415,7 @@
     let fleet = fleet_with(2, Plan::default(), &bounds).await;
     services(&fleet, Script::rejected);
     for turn in 0..100 {
-        let address = fleet.routers[turn % 2].callers();
+        let address = fleet.routers[turn % 2].callers_address();
         call(address, &request("GET", "/read/a", &format!("b{turn}"))).await.unwrap();
     }
     let arrivals: usize =
--- a/teaselworks/tests/golden.rs
+++ b/teaselworks/tests/golden.rs
@@ -31,7 +31,7 @@
     async fn send(&mut self, sent: Call) {
         let known: Vec<usize> =
             self.upstreams().map(|upstream| upstream.received_requests().len()).collect();
-        let reply = call(self.fleet.routers[0].callers(), &sent).await.unwrap();
+        let reply = call(self.fleet.routers[0].callers_address(), &sent).await.unwrap();
         self.text.push_str(&format!("\n> {} {}\n", sent.method, sent.target));
         let mut lines = Vec::new();
         for (upstream, known) in self.upstreams().zip(known) {
--- a/teaselworks/tests/log.rs
+++ b/teaselworks/tests/log.rs
@@ -19,7 +19,7 @@
     let fleet = fleet(1).await;
     let router = &fleet.routers[0];
     router.set_log_reading(false);
-    let mut connection = Connection::open(router.callers()).await.unwrap();
+    let mut connection = Connection::open(router.callers_address()).await.unwrap();
     for number in 0..REQUESTS {
         let sent = request("GET", "/read/a", &format!("r{number}"));
         let reply = connection.call(&sent).await.unwrap().unwrap();
--- a/teaselworks/tests/memory.rs
+++ b/teaselworks/tests/memory.rs
@@ -24,7 +24,7 @@
     let mut idle = Vec::new();
     let before_kb = private_kb(&fleet);
     for number in 0..CONNECTIONS {
-        let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+        let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
         let call = request("GET", "/read/a", &format!("r{number}"));
         assert_eq!(connection.call(&call).await.unwrap().unwrap().status(), 200);
         idle.push(connection);
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -15,7 +15,7 @@
 use teaselworks_standin::upstream::{Script, Upstream};
 
 async fn status(router: &Router, target: &str, id: &str) -> u16 {
-    call(router.callers(), &request("GET", target, id)).await.unwrap().status()
+    call(router.callers_address(), &request("GET", target, id)).await.unwrap().status()
 }
 
 async fn answers(router: &Router, target: &str, expected: u16) {
@@ -119,7 +119,7 @@
             Script::stream(received, 1..21, Duration::from_millis(50), true)
         });
     }
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let streaming = tokio::spawn(async move { call(address, &chat("/chat/a", "s", 1)).await });
     fleet.routers[0].wait_for_events("request_placed", 1).await.unwrap();
     for engine in &fleet.engines {
@@ -205,7 +205,7 @@
     let store = teaselworks_standin::store::Store::start().unwrap();
     let router = Router::start(program(), "alone", store.address(), &[], &json!({})).unwrap();
     until("it listens", async || {
-        let reply = call(router.callers(), &request("GET", "/read/a", "1")).await;
+        let reply = call(router.callers_address(), &request("GET", "/read/a", "1")).await;
         reply.is_ok_and(|reply| reply.status() == 503 && reply.head.header("retry-after").is_some())
     })
     .await
--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -22,7 +22,7 @@
         let target = format!("{prefix}a");
         let what = format!("{target} is known everywhere");
         until(&what, async || {
-            let reply = call(router.callers(), &request("GET", &target, "look")).await;
+            let reply = call(router.callers_address(), &request("GET", &target, "look")).await;
             reply.is_ok_and(|reply| reply.status() == 200)
         })
         .await
@@ -86,12 +86,14 @@
     let mut turn = 0;
     until("a router knows a load that another one heard", async || {
         turn += 1;
-        call(first.callers(), &request("GET", "/read/a", &format!("h{turn}"))).await.unwrap();
+        call(first.callers_address(), &request("GET", "/read/a", &format!("h{turn}")))
+            .await
+            .unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
         // Each is asked once: after that it has heard of the load itself.
         let Some((number, router)) = others.next() else { return false };
         let id = format!("o{number}");
-        call(router.callers(), &request("GET", "/read/a", &id)).await.unwrap();
+        call(router.callers_address(), &request("GET", "/read/a", &id)).await.unwrap();
         let placed = router.wait_for_events("request_placed", 1).await.unwrap();
         placed[0]["report_age_ms"] != "-1"
     })
@@ -109,7 +111,9 @@
     until("a router that sent nothing ejects the replica", async || {
         for router in others {
             turn += 1;
-            call(router.callers(), &request("GET", "/read/a", &format!("b{turn}"))).await.unwrap();
+            call(router.callers_address(), &request("GET", "/read/a", &format!("b{turn}")))
+                .await
+                .unwrap();
         }
         !untouched.events("upstream_ejected").is_empty()
     })
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -23,7 +23,7 @@
         .with("Connection", "X-Hop")
         .with("X-Hop", "dropped")
         .body("dialect: dolenjsko");
-    let reply = call(fleet.routers[0].callers(), &sent).await.unwrap();
+    let reply = call(fleet.routers[0].callers_address(), &sent).await.unwrap();
     assert_eq!((reply.status(), reply.text().as_str()), (200, "a verse"));
     assert_eq!(reply.head.header("x-server-stamp"), Some("stamp-0a1b"));
     let received: Vec<_> =
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn a_chunked_body_arrives_whole() {
     let fleet = fleet(1).await;
-    let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     let head = format!(
         "POST /write/a HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: c1\r\n\
          Authorization: Bearer {KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -68,7 +68,7 @@
     let fleet = fleet(1).await;
     let body = "a verse and another ".repeat(30_000);
     let sent = request("POST", "/write/a", "long").body(&body);
-    assert_eq!(call(fleet.routers[0].callers(), &sent).await.unwrap().status(), 200);
+    assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
     assert_eq!(received[0].body.bytes, body.as_bytes());
@@ -78,7 +78,7 @@
 #[tokio::test]
 async fn what_the_configuration_does_not_allow_is_refused_and_does_not_run() {
     let fleet = fleet(1).await;
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let cases = [
         (request("GET", "/elsewhere/a", "1"), 404),
         (Call::new("GET", "other.example", "/read/a", "2").key(KEY), 404),
@@ -112,7 +112,7 @@
         format!("Content-Length: +3\r\n\r\nabc{hidden}"),
     ];
     for (number, framing) in framings.iter().enumerate() {
-        let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+        let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
         let head = format!(
             "POST /write/a HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: s{number}\r\n\
              Authorization: Bearer {KEY}\r\n{framing}"
@@ -136,7 +136,7 @@
     let large =
         format!("GET /read/a HTTP/1.1\r\nHost: {HOST}\r\nX-Long: {}\r\n\r\n", "x".repeat(40_000));
     for (bytes, status) in [("no http at all\r\n\r\n", 400), (large.as_str(), 431)] {
-        let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+        let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
         connection.write(bytes.as_bytes()).await.unwrap();
         assert_eq!(connection.reply().await.unwrap().unwrap().status(), status);
     }
@@ -149,7 +149,7 @@
     plan.value["limits"]["header_timeout_ms"] = json!(300);
     plan.value["limits"]["idle_timeout_ms"] = json!(600);
     let fleet = fleet_with(1, plan, &json!({})).await;
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut slow = Connection::open(address).await.unwrap();
     slow.write(b"GET /read/a HT").await.unwrap();
     let mut idle = Connection::open(address).await.unwrap();
@@ -165,7 +165,7 @@
     plan.value["limits"]["header_timeout_ms"] = json!(200);
     plan.value["limits"]["idle_timeout_ms"] = json!(20_000);
     let fleet = fleet_with(1, plan, &json!({})).await;
-    let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     for id in ["1", "2"] {
         let reply = connection.call(&request("GET", "/read/a", id)).await.unwrap().unwrap();
         assert_eq!(reply.status(), 200);
@@ -185,7 +185,7 @@
     for service in &fleet.services {
         service.set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
     }
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
     assert!(streaming.head().await.unwrap().is_some());
@@ -213,7 +213,7 @@
     plan.find("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, plan, &json!({})).await;
     let sent = Call::new("GET", HOST, "/read/a", "1").with("X-Tenant", WORKSPACE);
-    assert_eq!(call(fleet.routers[0].callers(), &sent).await.unwrap().status(), 200);
+    assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
     assert_eq!(received[0].head.header("x-tenant"), None);
@@ -240,7 +240,7 @@
     let router = &fleet.routers[0];
     let mut open = Vec::new();
     for number in 0..48 {
-        let mut connection = Connection::open(router.callers()).await.unwrap();
+        let mut connection = Connection::open(router.callers_address()).await.unwrap();
         connection.send(&request("POST", "/write/a", &format!("c{number}"))).await.unwrap();
         open.push(connection);
     }
@@ -248,7 +248,7 @@
     for service in &fleet.services {
         service.set_behaviour(|received| Script::response(received, 200, "a verse"));
     }
-    let mut late = Connection::open(router.callers()).await.unwrap();
+    let mut late = Connection::open(router.callers_address()).await.unwrap();
     late.send(&request("GET", "/read/a", "late")).await.unwrap();
     let waiting = tokio::time::timeout(Duration::from_millis(300), late.reply()).await;
     assert!(waiting.is_err(), "{waiting:?}");
@@ -265,7 +265,7 @@
     let router = &fleet.routers[0];
     let mut open = Vec::new();
     for number in 0..100 {
-        let mut connection = Connection::open(router.callers()).await.unwrap();
+        let mut connection = Connection::open(router.callers_address()).await.unwrap();
         let sent = request("GET", "/read/a", &format!("c{number}"));
         let reply = connection.call(&sent).await.unwrap().unwrap();
         assert_eq!(reply.status(), 200);
@@ -278,7 +278,7 @@
 #[tokio::test]
 async fn requests_that_arrive_together_or_in_parts_are_all_answered() {
     let fleet = fleet(1).await;
-    let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     let bytes: Vec<u8> =
         ["1", "2", "3"].iter().flat_map(|id| request("GET", "/read/a", id).bytes()).collect();
     let in_third = bytes.len() - 20;
@@ -304,7 +304,7 @@
          content-length: {}\r\n\r\n",
         smuggled.len()
     );
-    let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     connection.write(head.as_bytes()).await.unwrap();
     assert_eq!(connection.reply().await.unwrap().unwrap().status(), 401);
     // The router may have closed the connection.
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -39,7 +39,7 @@
 async fn what_an_earlier_start_held_ends_at_once_and_does_not_look_whole() {
     let fleet = fleet(1).await;
     let proxy = silent_engine(&fleet).await;
-    let mut caller = Connection::open(fleet.routers[0].callers()).await.unwrap();
+    let mut caller = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     caller.send(&chat("/chat/a", "c1", 1)).await.unwrap();
     assert!(caller.head().await.unwrap().is_some());
 
@@ -50,7 +50,7 @@
     assert_eq!(broken[0]["request"], "c1");
     assert_eq!(fleet.engines[0].run_count("c1"), 1);
 
-    let reply = call(fleet.routers[0].callers(), &chat("/chat/a", "c2", 1)).await.unwrap();
+    let reply = call(fleet.routers[0].callers_address(), &chat("/chat/a", "c2", 1)).await.unwrap();
     assert_eq!((reply.status(), reply.events()), (200, vec![1, 2, 3]));
 }
 
@@ -59,7 +59,7 @@
 async fn a_resumable_stream_of_an_earlier_start_goes_on_elsewhere_at_once() {
     let fleet = fleet(1).await;
     let proxy = silent_engine(&fleet).await;
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let streaming = tokio::spawn(async move { call(address, &chat("/gloss/a", "g1", 1)).await });
     while fleet.engines[0].run_count("g1") == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -84,7 +84,7 @@
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let waiting =
         tokio::spawn(async move { call(address, &request("POST", "/write/a", "w1")).await });
     fleet.routers[0].wait_for_events("request_placed", 1).await.unwrap();
@@ -109,7 +109,7 @@
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
     fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     assert_eq!(call(address, &request("POST", "/write/a", "w1")).await.unwrap().status(), 200);
 
     proxy.stall();
@@ -137,6 +137,7 @@
     fleet.routers[0].wait_for_events("upstream_stale", 1).await.unwrap();
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
-    let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
+    let reply =
+        call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!((reply.status(), fleet.services[0].received_requests().len()), (200, 1));
 }
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -27,7 +27,7 @@
             Script::stream(received, 1..41, Duration::from_millis(100), true)
         });
     }
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
     assert!(streaming.head().await.unwrap().is_some());
@@ -67,7 +67,7 @@
             Script::stream(received, 1..46, Duration::from_millis(100), true)
         });
     }
-    let addresses: Vec<_> = fleet.routers.iter().map(|router| router.callers()).collect();
+    let addresses: Vec<_> = fleet.routers.iter().map(|router| router.callers_address()).collect();
     let mut streams = Vec::new();
     for (number, address) in addresses.iter().copied().enumerate() {
         let sent = chat("/chat/a", &format!("s{number}"), 1);
@@ -112,7 +112,8 @@
     fleet.routers[0].wait_for_exit().await.unwrap();
     fleet.routers[0].spawn().unwrap();
     fleet.routers[0].wait_until_ready().await.unwrap();
-    let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
+    let reply =
+        call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
 }
 
@@ -129,7 +130,7 @@
         .change_settings(|settings| settings["platform"]["address"] = platform)
         .unwrap();
     fleet.routers[0].spawn().unwrap();
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut opened = None;
     until("the port is open", async || {
         opened = Connection::open(address).await.ok();
@@ -160,15 +161,16 @@
         .unwrap();
     let reloaded = fleet.routers[0].wait_for_events("settings_reloaded", 2).await.unwrap();
     assert_eq!(reloaded[1]["changed"], "true");
-    let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
+    let reply =
+        call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
 }
 
 #[tokio::test]
 async fn the_metrics_page_lists_every_reason() {
     let fleet = fleet(1).await;
-    call(fleet.routers[0].callers(), &request("GET", "/nowhere/", "1")).await.unwrap();
-    call(fleet.routers[0].callers(), &request("GET", "/read/a", "2")).await.unwrap();
+    call(fleet.routers[0].callers_address(), &request("GET", "/nowhere/", "1")).await.unwrap();
+    call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "2")).await.unwrap();
     let page = fleet.routers[0].metrics().await.unwrap();
     let page = page.replace(",otel_scope_name=\"teaselworks\"", "");
     let page = page.replace("{otel_scope_name=\"teaselworks\"}", "");
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -43,7 +43,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     println!("memory idle: {:.1} MB", memory_mb(process_id)?);
 
-    let mut connection = Connection::open(router.callers()).await?;
+    let mut connection = Connection::open(router.callers_address()).await?;
     let before = processor_time(process_id)?;
     for number in 0..REQUESTS {
         let reply =
@@ -84,7 +84,7 @@
     }
     let mut open = Vec::new();
     for number in 0..OPEN_STREAMS {
-        let Ok(mut connection) = Connection::open(router.callers()).await else { break };
+        let Ok(mut connection) = Connection::open(router.callers_address()).await else { break };
         connection.send(&chat_request(&format!("b{number:x}"))).await?;
         let head = tokio::time::timeout(Duration::from_millis(500), connection.head()).await;
         if !matches!(head, Ok(Ok(Some(_)))) {
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns the address for callers.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_address(&self) -> SocketAddr {
         self.ports.callers.address()
     }
 
--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -70,7 +70,7 @@
     let stop = CancellationToken::new();
     let caller = |number: usize| Caller {
         number,
-        routers: fleet.routers.iter().map(|router| router.process.callers()).collect(),
+        routers: fleet.routers.iter().map(|router| router.process.callers_address()).collect(),
         restart_counts: fleet.routers.iter().map(|router| router.restart_count.clone()).collect(),
         newest_version: fleet.newest_version.clone(),
         recorder: recorder.clone(),
@@ -235,7 +235,7 @@
         {
             let id = format!("last{number}n{count}");
             let call = build_call(kind, &id, count as u32);
-            let reply = crate::caller::call(router.process.callers(), &call).await;
+            let reply = crate::caller::call(router.process.callers_address(), &call).await;
             let is_served = reply.is_ok_and(|reply| {
                 let has_all_events = !kind.is_stream()
                     || event_ids(&reply.text()).len() == event_count(&id) as usize;
@@ -254,7 +254,7 @@
             "newest",
         )
         .key(KEY);
-        let reply = crate::caller::call(router.process.callers(), &call).await;
+        let reply = crate::caller::call(router.process.callers_address(), &call).await;
         if !reply.is_ok_and(|reply| reply.status() == 200) {
             let details = format!(
                 "router-{number} does not serve the route of configuration version {newest_version}"
