--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -88,7 +88,7 @@
     let reader = Router::start(program(), "reader", store, &[], &json!({})).unwrap();
     let proxy = Proxy::start(store).unwrap();
     proxy.set_frozen(true);
-    let seeds = [fleet.routers[0].peers()];
+    let seeds = [fleet.routers[0].peers_address()];
     let asker = Router::start(program(), "asker", proxy.address(), &seeds, &json!({})).unwrap();
     fleet.routers.extend([reader, asker]);
     for (number, router) in fleet.routers.iter().enumerate() {
@@ -167,7 +167,7 @@
 /// Starts another router and cuts it off from the store, through the proxy that is returned.
 async fn apart(fleet: &Fleet) -> (Proxy, Router) {
     let proxy = Proxy::start(fleet.store.address()).unwrap();
-    let seeds = [fleet.routers[0].peers()];
+    let seeds = [fleet.routers[0].peers_address()];
     let router = Router::start(program(), "apart", proxy.address(), &seeds, &json!({})).unwrap();
     router.wait_until_ready().await.unwrap();
     proxy.set_frozen(true);
@@ -194,7 +194,7 @@
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     proxy.set_frozen(true);
-    let seeds = [fleet.routers[0].peers()];
+    let seeds = [fleet.routers[0].peers_address()];
     let router = Router::start(program(), "apart", proxy.address(), &seeds, &json!({})).unwrap();
     router.wait_until_ready().await.unwrap();
     assert_eq!(status(&router, "/read/a", "1").await, 200);
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -63,7 +63,7 @@
             fleet.list(upstream, ARCHIVE, "ready");
         }
         for number in 0..routers {
-            let seeds: Vec<_> = fleet.routers.iter().map(Router::peers).collect();
+            let seeds: Vec<_> = fleet.routers.iter().map(Router::peers_address).collect();
             let name = format!("router-{number}");
             let store = fleet.store.address();
             fleet.routers.push(Router::start(program.clone(), &name, store, &seeds, bounds)?);
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns the address for other routers.
-    pub fn peers(&self) -> SocketAddr {
+    pub fn peers_address(&self) -> SocketAddr {
         self.ports.peers.address()
     }
 
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -211,7 +211,7 @@
         for number in 0..routers {
             let store_proxy = Proxy::start(fleet.store.address())?;
             let seeds: Vec<SocketAddr> =
-                fleet.routers.iter().map(|router| router.process.peers()).collect();
+                fleet.routers.iter().map(|router| router.process.peers_address()).collect();
             let name = format!("router-{number}");
             let address = store_proxy.address();
             let process = Router::start(program.clone(), &name, address, &seeds, &bounds)?;
