--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use teaselworks_standin::caller::call;
 use teaselworks_standin::configuration::{ARCHIVE, Plan};
-use teaselworks_standin::fleet::{Fleet, until};
+use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::router::Router;
 use teaselworks_standin::store::{Mode, Store};
@@ -20,7 +20,7 @@
 
 async fn answers(router: &Router, target: &str, expected: u16) {
     let what = format!("{target} is answered {expected}");
-    until(&what, async || status(router, target, "look").await == expected).await.unwrap();
+    wait_until(&what, async || status(router, target, "look").await == expected).await.unwrap();
 }
 
 fn new_route(fleet: &mut Fleet) {
@@ -102,7 +102,7 @@
     fleet.store.put_json("servers/service-1", &good(&fleet));
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
     answers(&fleet.routers[0], "/read/a", 200).await;
-    until("the replica is used again", async || {
+    wait_until("the replica is used again", async || {
         status(&fleet.routers[0], "/read/a", "again").await;
         !fleet.services[0].received_requests().is_empty()
     })
@@ -204,7 +204,7 @@
 async fn a_router_that_knows_nothing_is_not_ready_and_refuses() {
     let store = teaselworks_standin::store::Store::start().unwrap();
     let router = Router::start(program(), "alone", store.address(), &[], &json!({})).unwrap();
-    until("it listens", async || {
+    wait_until("it listens", async || {
         let reply = call(router.callers_address(), &request("GET", "/read/a", "1")).await;
         reply.is_ok_and(|reply| reply.status() == 503 && reply.head.header("retry-after").is_some())
     })
--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -8,7 +8,7 @@
 use nix::sys::signal::Signal;
 use teaselworks_standin::caller::call;
 use teaselworks_standin::configuration::ARCHIVE;
-use teaselworks_standin::fleet::{Fleet, until};
+use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::upstream::{Script, Step};
 
 /// Routers of the fleet, of which four read.
@@ -21,7 +21,7 @@
     for router in &fleet.routers {
         let target = format!("{prefix}a");
         let what = format!("{target} is known everywhere");
-        until(&what, async || {
+        wait_until(&what, async || {
             let reply = call(router.callers_address(), &request("GET", &target, "look")).await;
             reply.is_ok_and(|reply| reply.status() == 200)
         })
@@ -84,7 +84,7 @@
     let mut others = fleet.routers.iter().enumerate();
     let (_, first) = others.next().unwrap();
     let mut turn = 0;
-    until("a router knows a load that another one heard", async || {
+    wait_until("a router knows a load that another one heard", async || {
         turn += 1;
         call(first.callers_address(), &request("GET", "/read/a", &format!("h{turn}")))
             .await
@@ -108,7 +108,7 @@
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Reset]));
     let (untouched, others) = fleet.routers.split_last().unwrap();
     let mut turn = 0;
-    until("a router that sent nothing ejects the replica", async || {
+    wait_until("a router that sent nothing ejects the replica", async || {
         for router in others {
             turn += 1;
             call(router.callers_address(), &request("GET", "/read/a", &format!("b{turn}")))
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -192,7 +192,7 @@
     let mut waiting = Connection::open(address).await.unwrap();
     waiting.send(&request("POST", "/write/a", "b2")).await.unwrap();
     let reached = || fleet.services.iter().any(|service| !service.received_requests().is_empty());
-    teaselworks_standin::fleet::until("the request is at a replica", async || reached())
+    teaselworks_standin::fleet::wait_until("the request is at a replica", async || reached())
         .await
         .unwrap();
     drop(streaming);
@@ -201,7 +201,7 @@
         let upstreams = fleet.engines.iter().chain(&fleet.services);
         upstreams.flat_map(|upstream| upstream.aborted_requests()).collect()
     };
-    teaselworks_standin::fleet::until("both are ended", async || broken_off().len() == 2)
+    teaselworks_standin::fleet::wait_until("both are ended", async || broken_off().len() == 2)
         .await
         .unwrap();
     fleet.routers[0].wait_for_events("caller_left", 2).await.unwrap();
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection, call};
 use teaselworks_standin::configuration::{HOST, KEY};
-use teaselworks_standin::fleet::until;
+use teaselworks_standin::fleet::wait_until;
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::Script;
 
@@ -41,7 +41,7 @@
     assert_eq!(reply.status(), 200);
     assert_eq!(reply.head.header("connection"), Some("close"));
     assert_eq!(call(address, &request("GET", "/read/a", "3")).await.unwrap().status(), 200);
-    until("it is no longer registered", async || fleet.store.keys("routers/").is_empty())
+    wait_until("it is no longer registered", async || fleet.store.keys("routers/").is_empty())
         .await
         .unwrap();
 
@@ -132,7 +132,7 @@
     fleet.routers[0].spawn().unwrap();
     let address = fleet.routers[0].callers_address();
     let mut opened = None;
-    until("the port is open", async || {
+    wait_until("the port is open", async || {
         opened = Connection::open(address).await.ok();
         opened.is_some()
     })
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -72,8 +72,10 @@
             router.wait_until_ready().await?;
         }
         let names = routers;
-        until("every router is registered", async || fleet.store.keys("routers/").len() == names)
-            .await?;
+        wait_until("every router is registered", async || {
+            fleet.store.keys("routers/").len() == names
+        })
+        .await?;
         Ok(fleet)
     }
 
@@ -100,7 +102,7 @@
 }
 
 /// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
     let end = tokio::time::Instant::now() + PATIENCE;
     while tokio::time::Instant::now() < end {
         if holds().await {
