--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -26,7 +26,7 @@
 fn new_route(fleet: &mut Fleet) {
     fleet.plan.next_version();
     fleet.plan.route("/new/", "safe", ARCHIVE, 2);
-    fleet.publish();
+    fleet.publish_configuration();
 }
 
 #[tokio::test]
@@ -41,7 +41,7 @@
     }
     fleet.plan.next_version();
     fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
-    fleet.publish();
+    fleet.publish_configuration();
     for router in &fleet.routers {
         answers(router, "/read/a", 401).await;
     }
@@ -183,7 +183,7 @@
     let (_proxy, router) = apart(&fleet).await;
     fleet.plan.next_version();
     fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
-    fleet.publish();
+    fleet.publish_configuration();
     answers(&router, "/read/a", 401).await;
     assert!(!router.wait_for_events("peer_answered", 1).await.unwrap().is_empty());
 }
--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -17,7 +17,7 @@
 async fn add_route(fleet: &mut Fleet, prefix: &str) {
     fleet.plan.next_version();
     fleet.plan.route(prefix, "safe", ARCHIVE, 2);
-    fleet.publish();
+    fleet.publish_configuration();
     for router in &fleet.routers {
         let target = format!("{prefix}a");
         let what = format!("{target} is known everywhere");
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -113,7 +113,7 @@
             tenants.push(json!({ "name": format!("workspace-{number}"), "api_keys": keys }));
         }
         fleet.plan.next_version();
-        fleet.publish();
+        fleet.publish_configuration();
         fleet.routers[0].wait_for_events("configuration_in_force", 2).await?;
         fleet.routers[0].wait_for_events("upstream_serving", 4 + replicas).await?;
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -55,7 +55,7 @@
         let services =
             vec![Upstream::start("service-1", whole)?, Upstream::start("service-2", whole)?];
         let mut fleet = Self { store, engines, services, routers: Vec::new(), plan };
-        fleet.publish();
+        fleet.publish_configuration();
         for upstream in &fleet.engines {
             fleet.list(upstream, CHAT, "ready");
         }
@@ -80,7 +80,7 @@
     }
 
     /// Writes the configuration.
-    pub fn publish(&self) {
+    pub fn publish_configuration(&self) {
         self.store.put_json(CONFIGURATION, &self.plan.value);
     }
 
