--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, fleet_with, request};
 use serde_json::json;
 use teaselworks_standin::caller::{Connection, Reply, call};
-use teaselworks_standin::configuration::{ARCHIVE, Plan};
+use teaselworks_standin::configuration::{ARCHIVE, TestConfiguration};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{
     ReceivedRequest, Script, Step, chunk, event, response_bytes, stream_head,
@@ -371,7 +371,7 @@
 /// Guards against waiting for a silent replica until the deadline, where another may be asked.
 #[tokio::test]
 async fn what_may_repeat_leaves_a_silent_replica() {
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     for prefix in ["/read/", "/gloss/"] {
         plan.find(prefix)["target_latency_ms"] = json!(50);
         plan.find(prefix)["target_gap_ms"] = json!(50);
@@ -397,7 +397,7 @@
 /// Guards against a caller that waits beyond its time, or is told that nothing ran.
 #[tokio::test]
 async fn a_request_whose_time_passes_is_answered_then() {
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     plan.find("/write/")["timeout_ms"] = json!(300);
     let fleet = fleet_with(1, plan, &json!({})).await;
     services(&fleet, |_| Script::from_steps(vec![Step::Silence]));
@@ -412,7 +412,7 @@
 #[tokio::test]
 async fn repeats_stay_within_the_budget() {
     let bounds = json!({ "retry_ratio": 0.1, "retry_slack": 10.0 });
-    let fleet = fleet_with(2, Plan::default(), &bounds).await;
+    let fleet = fleet_with(2, TestConfiguration::default(), &bounds).await;
     services(&fleet, Script::rejected);
     for turn in 0..100 {
         let address = fleet.routers[turn % 2].callers_address();
--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use teaselworks_standin::caller::Call;
-use teaselworks_standin::configuration::{HOST, KEY, Plan};
+use teaselworks_standin::configuration::{HOST, KEY, TestConfiguration};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::router::Program;
 
@@ -19,7 +19,7 @@
 }
 
 /// Starts a fleet with a configuration and bounds of its own.
-pub async fn fleet_with(routers: usize, plan: Plan, bounds: &Value) -> Fleet {
+pub async fn fleet_with(routers: usize, plan: TestConfiguration, bounds: &Value) -> Fleet {
     let started = Fleet::start_with(program(), routers, plan, bounds).await;
     started.unwrap_or_else(|error| panic!("{error}"))
 }
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, program, request};
 use serde_json::json;
 use teaselworks_standin::caller::call;
-use teaselworks_standin::configuration::{ARCHIVE, Plan};
+use teaselworks_standin::configuration::{ARCHIVE, TestConfiguration};
 use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::router::Router;
@@ -53,7 +53,7 @@
     let mut fleet = fleet(1).await;
     new_route(&mut fleet);
     answers(&fleet.routers[0], "/new/a", 200).await;
-    let older = Plan::default();
+    let older = TestConfiguration::default();
     fleet.store.put_json("op/config", &older.value);
     fleet.routers[0].wait_for_events("configuration_stale", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/new/a", "after").await, 200);
@@ -303,7 +303,7 @@
 async fn a_large_configuration_reaches_a_router_on_a_small_link() {
     let store = Store::start().unwrap();
     let link = Proxy::start(store.address()).unwrap();
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     store.put_json("op/config", &plan.value);
     let router = Router::start(program(), "router-0", link.address(), &[], &json!({})).unwrap();
     router.wait_for_events("configuration_in_force", 1).await.unwrap();
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, fleet_with, request};
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection, call};
-use teaselworks_standin::configuration::{HOST, KEY, Plan, WORKSPACE};
+use teaselworks_standin::configuration::{HOST, KEY, TestConfiguration, WORKSPACE};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{Script, Step};
 
@@ -145,7 +145,7 @@
 /// Guards against connections without a whole request that take every descriptor.
 #[tokio::test]
 async fn slow_heads_and_idle_connections_are_closed() {
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     plan.value["limits"]["header_timeout_ms"] = json!(300);
     plan.value["limits"]["idle_timeout_ms"] = json!(600);
     let fleet = fleet_with(1, plan, &json!({})).await;
@@ -161,7 +161,7 @@
 /// Guards against an idle connection that is closed by the timeout of heads.
 #[tokio::test]
 async fn a_connection_idle_within_its_timeout_is_used_again() {
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     plan.value["limits"]["header_timeout_ms"] = json!(200);
     plan.value["limits"]["idle_timeout_ms"] = json!(20_000);
     let fleet = fleet_with(1, plan, &json!({})).await;
@@ -209,7 +209,7 @@
 
 #[tokio::test]
 async fn anonymous_routes_need_no_key_and_name_no_workspace() {
-    let mut plan = Plan::default();
+    let mut plan = TestConfiguration::default();
     plan.find("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, plan, &json!({})).await;
     let sent = Call::new("GET", HOST, "/read/a", "1").with("X-Tenant", WORKSPACE);
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -19,12 +19,12 @@
 
 /// A configuration that grows by calls.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct TestConfiguration {
     /// The configuration.
     pub value: Value,
 }
 
-impl Default for Plan {
+impl Default for TestConfiguration {
     /// Makes version 1: an idempotent, an at-most-once and two streaming routes, one of them
     /// resumable, and a workspace.
     fn default() -> Self {
@@ -62,7 +62,7 @@
     service
 }
 
-impl Plan {
+impl TestConfiguration {
     /// Adds a route and returns it.
     pub fn route(&mut self, prefix: &str, kind: &str, service: &str, attempts: u32) -> &mut Value {
         let routes = self.value["routes"].as_array_mut().expect("a list of routes");
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use crate::configuration::{ARCHIVE, CHAT, Plan, entry};
+use crate::configuration::{ARCHIVE, CHAT, TestConfiguration, entry};
 use crate::router::{Program, Router};
 use crate::store::Store;
 use crate::upstream::{ReceivedRequest, Script, Upstream};
@@ -29,20 +29,20 @@
     /// Routers.
     pub routers: Vec<Router>,
     /// The configuration that was written last.
-    pub plan: Plan,
+    pub plan: TestConfiguration,
 }
 
 impl Fleet {
     /// Starts a fleet whose replicas answer whole, and waits until its routers are ready.
     pub async fn start(program: Program, routers: usize) -> io::Result<Self> {
-        Self::start_with(program, routers, Plan::default(), &json!({})).await
+        Self::start_with(program, routers, TestConfiguration::default(), &json!({})).await
     }
 
     /// Starts a fleet with a configuration and bounds of its own.
     pub async fn start_with(
         program: Program,
         routers: usize,
-        plan: Plan,
+        plan: TestConfiguration,
         bounds: &Value,
     ) -> io::Result<Self> {
         let store = Store::start()?;
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use super::record::{Bug, Recorder};
-use crate::configuration::{ARCHIVE, CHAT, Plan, entry};
+use crate::configuration::{ARCHIVE, CHAT, TestConfiguration, entry};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
 use crate::store::{Mode, Store};
@@ -172,7 +172,7 @@
     pub(super) store: Store,
     pub(super) replicas: Vec<Replica>,
     pub(super) routers: Vec<SoakRouter>,
-    pub(super) plan: Plan,
+    pub(super) plan: TestConfiguration,
     /// Version of the configuration that was published last, shared with the probes.
     pub(super) newest_version: Arc<AtomicU64>,
     recorder: Arc<Recorder>,
@@ -191,7 +191,7 @@
             store: Store::start()?,
             replicas: Vec::new(),
             routers: Vec::new(),
-            plan: Plan::default(),
+            plan: TestConfiguration::default(),
             newest_version: Arc::new(AtomicU64::new(1)),
             recorder: recorder.clone(),
             started_replicas: 0,
