--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -371,12 +371,12 @@
 /// Guards against waiting for a silent replica until the deadline, where another may be asked.
 #[tokio::test]
 async fn what_may_repeat_leaves_a_silent_replica() {
-    let mut plan = TestConfiguration::default();
+    let mut configuration = TestConfiguration::default();
     for prefix in ["/read/", "/gloss/"] {
-        plan.find(prefix)["target_latency_ms"] = json!(50);
-        plan.find(prefix)["target_gap_ms"] = json!(50);
+        configuration.find(prefix)["target_latency_ms"] = json!(50);
+        configuration.find(prefix)["target_gap_ms"] = json!(50);
     }
-    let fleet = fleet_with(1, plan, &json!({})).await;
+    let fleet = fleet_with(1, configuration, &json!({})).await;
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
     fleet.engines[0]
         .set_behaviour(|received| Script::stream(received, 1..3, GAP, false).then(Step::Silence));
@@ -397,9 +397,9 @@
 /// Guards against a caller that waits beyond its time, or is told that nothing ran.
 #[tokio::test]
 async fn a_request_whose_time_passes_is_answered_then() {
-    let mut plan = TestConfiguration::default();
-    plan.find("/write/")["timeout_ms"] = json!(300);
-    let fleet = fleet_with(1, plan, &json!({})).await;
+    let mut configuration = TestConfiguration::default();
+    configuration.find("/write/")["timeout_ms"] = json!(300);
+    let fleet = fleet_with(1, configuration, &json!({})).await;
     services(&fleet, |_| Script::from_steps(vec![Step::Silence]));
     let reply = answered(&fleet, request("POST", "/write/a", "t1")).await;
     assert_eq!(reply.status(), 504);
--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -19,8 +19,8 @@
 }
 
 /// Starts a fleet with a configuration and bounds of its own.
-pub async fn fleet_with(routers: usize, plan: TestConfiguration, bounds: &Value) -> Fleet {
-    let started = Fleet::start_with(program(), routers, plan, bounds).await;
+pub async fn fleet_with(routers: usize, configuration: TestConfiguration, bounds: &Value) -> Fleet {
+    let started = Fleet::start_with(program(), routers, configuration, bounds).await;
     started.unwrap_or_else(|error| panic!("{error}"))
 }
 
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -24,8 +24,8 @@
 }
 
 fn new_route(fleet: &mut Fleet) {
-    fleet.plan.next_version();
-    fleet.plan.route("/new/", "safe", ARCHIVE, 2);
+    fleet.configuration.next_version();
+    fleet.configuration.route("/new/", "safe", ARCHIVE, 2);
     fleet.publish_configuration();
 }
 
@@ -39,8 +39,8 @@
     for router in &fleet.routers {
         answers(router, "/new/a", 200).await;
     }
-    fleet.plan.next_version();
-    fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
+    fleet.configuration.next_version();
+    fleet.configuration.value["tenants"][0]["api_keys"] = json!(["another"]);
     fleet.publish_configuration();
     for router in &fleet.routers {
         answers(router, "/read/a", 401).await;
@@ -181,8 +181,8 @@
 async fn a_router_that_the_store_turns_away_learns_from_another() {
     let mut fleet = fleet(2).await;
     let (_proxy, router) = apart(&fleet).await;
-    fleet.plan.next_version();
-    fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
+    fleet.configuration.next_version();
+    fleet.configuration.value["tenants"][0]["api_keys"] = json!(["another"]);
     fleet.publish_configuration();
     answers(&router, "/read/a", 401).await;
     assert!(!router.wait_for_events("peer_answered", 1).await.unwrap().is_empty());
@@ -303,15 +303,15 @@
 async fn a_large_configuration_reaches_a_router_on_a_small_link() {
     let store = Store::start().unwrap();
     let link = Proxy::start(store.address()).unwrap();
-    let mut plan = TestConfiguration::default();
-    store.put_json("op/config", &plan.value);
+    let mut configuration = TestConfiguration::default();
+    store.put_json("op/config", &configuration.value);
     let router = Router::start(program(), "router-0", link.address(), &[], &json!({})).unwrap();
     router.wait_for_events("configuration_in_force", 1).await.unwrap();
     link.set_faults(|faults| faults.backward.bytes_per_s = Some(150_000));
     for number in 0..2_000 {
-        plan.route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
+        configuration.route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
     }
-    plan.next_version();
-    store.put_json("op/config", &plan.value);
+    configuration.next_version();
+    store.put_json("op/config", &configuration.value);
     router.wait_for_events("configuration_in_force", 2).await.unwrap();
 }
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -145,10 +145,10 @@
 /// Guards against connections without a whole request that take every descriptor.
 #[tokio::test]
 async fn slow_heads_and_idle_connections_are_closed() {
-    let mut plan = TestConfiguration::default();
-    plan.value["limits"]["header_timeout_ms"] = json!(300);
-    plan.value["limits"]["idle_timeout_ms"] = json!(600);
-    let fleet = fleet_with(1, plan, &json!({})).await;
+    let mut configuration = TestConfiguration::default();
+    configuration.value["limits"]["header_timeout_ms"] = json!(300);
+    configuration.value["limits"]["idle_timeout_ms"] = json!(600);
+    let fleet = fleet_with(1, configuration, &json!({})).await;
     let address = fleet.routers[0].callers_address();
     let mut slow = Connection::open(address).await.unwrap();
     slow.write(b"GET /read/a HT").await.unwrap();
@@ -161,10 +161,10 @@
 /// Guards against an idle connection that is closed by the timeout of heads.
 #[tokio::test]
 async fn a_connection_idle_within_its_timeout_is_used_again() {
-    let mut plan = TestConfiguration::default();
-    plan.value["limits"]["header_timeout_ms"] = json!(200);
-    plan.value["limits"]["idle_timeout_ms"] = json!(20_000);
-    let fleet = fleet_with(1, plan, &json!({})).await;
+    let mut configuration = TestConfiguration::default();
+    configuration.value["limits"]["header_timeout_ms"] = json!(200);
+    configuration.value["limits"]["idle_timeout_ms"] = json!(20_000);
+    let fleet = fleet_with(1, configuration, &json!({})).await;
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     for id in ["1", "2"] {
         let reply = connection.call(&request("GET", "/read/a", id)).await.unwrap().unwrap();
@@ -209,9 +209,9 @@
 
 #[tokio::test]
 async fn anonymous_routes_need_no_key_and_name_no_workspace() {
-    let mut plan = TestConfiguration::default();
-    plan.find("/read/")["anonymous"] = json!(true);
-    let fleet = fleet_with(1, plan, &json!({})).await;
+    let mut configuration = TestConfiguration::default();
+    configuration.find("/read/")["anonymous"] = json!(true);
+    let fleet = fleet_with(1, configuration, &json!({})).await;
     let sent = Call::new("GET", HOST, "/read/a", "1").with("X-Tenant", WORKSPACE);
     assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
     let received: Vec<_> =
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -105,14 +105,14 @@
             let entry = entry(&fleet.engines[0], address, CHAT, "ready");
             fleet.store.put_json(&format!("servers/more-{number}"), &entry);
         }
-        let tenants = fleet.plan.value["tenants"]
+        let tenants = fleet.configuration.value["tenants"]
             .as_array_mut()
             .ok_or("the configuration has no list `tenants`")?;
         for number in 0..workspaces {
             let keys = [format!("key-{number:016x}-1"), format!("key-{number:016x}-2")];
             tenants.push(json!({ "name": format!("workspace-{number}"), "api_keys": keys }));
         }
-        fleet.plan.next_version();
+        fleet.configuration.next_version();
         fleet.publish_configuration();
         fleet.routers[0].wait_for_events("configuration_in_force", 2).await?;
         fleet.routers[0].wait_for_events("upstream_serving", 4 + replicas).await?;
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -28,7 +28,7 @@
     /// Makes version 1: an idempotent, an at-most-once and two streaming routes, one of them
     /// resumable, and a workspace.
     fn default() -> Self {
-        let mut plan = Self {
+        let mut configuration = Self {
             value: json!({
                 "version": 1,
                 "routes": [],
@@ -43,11 +43,11 @@
                 "tenants": [{ "name": WORKSPACE, "api_keys": [KEY], "priority": 1 }],
             }),
         };
-        plan.route("/read/", "safe", ARCHIVE, 2);
-        plan.route("/write/", "unsafe", ARCHIVE, 1);
-        plan.route("/chat/", "streaming", CHAT, 1);
-        plan.route("/gloss/", "streaming", CHAT, 2)["resumable"] = json!(true);
-        plan
+        configuration.route("/read/", "safe", ARCHIVE, 2);
+        configuration.route("/write/", "unsafe", ARCHIVE, 1);
+        configuration.route("/chat/", "streaming", CHAT, 1);
+        configuration.route("/gloss/", "streaming", CHAT, 2)["resumable"] = json!(true);
+        configuration
     }
 }
 
@@ -78,7 +78,10 @@
     /// Returns the route of a prefix.
     pub fn find(&mut self, prefix: &str) -> &mut Value {
         let routes = self.value["routes"].as_array_mut().expect("a list of routes");
-        routes.iter_mut().find(|route| route["prefix"] == prefix).expect("a route of the plan")
+        routes
+            .iter_mut()
+            .find(|route| route["prefix"] == prefix)
+            .expect("a route of the configuration")
     }
 
     /// Makes it the next version after a gap.
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -29,7 +29,7 @@
     /// Routers.
     pub routers: Vec<Router>,
     /// The configuration that was written last.
-    pub plan: TestConfiguration,
+    pub configuration: TestConfiguration,
 }
 
 impl Fleet {
@@ -42,7 +42,7 @@
     pub async fn start_with(
         program: Program,
         routers: usize,
-        plan: TestConfiguration,
+        configuration: TestConfiguration,
         bounds: &Value,
     ) -> io::Result<Self> {
         let store = Store::start()?;
@@ -54,7 +54,7 @@
             vec![Upstream::start("engine-1", stream)?, Upstream::start("engine-2", stream)?];
         let services =
             vec![Upstream::start("service-1", whole)?, Upstream::start("service-2", whole)?];
-        let mut fleet = Self { store, engines, services, routers: Vec::new(), plan };
+        let mut fleet = Self { store, engines, services, routers: Vec::new(), configuration };
         fleet.publish_configuration();
         for upstream in &fleet.engines {
             fleet.list(upstream, CHAT, "ready");
@@ -81,7 +81,7 @@
 
     /// Writes the configuration.
     pub fn publish_configuration(&self) {
-        self.store.put_json(CONFIGURATION, &self.plan.value);
+        self.store.put_json(CONFIGURATION, &self.configuration.value);
     }
 
     /// Writes the entry of a replica.
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -172,7 +172,7 @@
     pub(super) store: Store,
     pub(super) replicas: Vec<Replica>,
     pub(super) routers: Vec<SoakRouter>,
-    pub(super) plan: TestConfiguration,
+    pub(super) configuration: TestConfiguration,
     /// Version of the configuration that was published last, shared with the probes.
     pub(super) newest_version: Arc<AtomicU64>,
     recorder: Arc<Recorder>,
@@ -191,7 +191,7 @@
             store: Store::start()?,
             replicas: Vec::new(),
             routers: Vec::new(),
-            plan: TestConfiguration::default(),
+            configuration: TestConfiguration::default(),
             newest_version: Arc::new(AtomicU64::new(1)),
             recorder: recorder.clone(),
             started_replicas: 0,
@@ -226,10 +226,10 @@
     /// Publishes the next version of the configuration. It adds a route of its own, by which probes
     /// find out whether a router has this version.
     pub(super) fn publish_next_version(&mut self) {
-        self.plan.next_version();
-        let version = self.plan.value["version"].as_u64().unwrap_or_default();
-        self.plan.route(&version_route_prefix(version), "safe", ARCHIVE, 2);
-        self.store.put_json("op/config", &self.plan.value);
+        self.configuration.next_version();
+        let version = self.configuration.value["version"].as_u64().unwrap_or_default();
+        self.configuration.route(&version_route_prefix(version), "safe", ARCHIVE, 2);
+        self.store.put_json("op/config", &self.configuration.value);
         self.newest_version.store(version, Ordering::Relaxed);
     }
 
