--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -373,8 +373,8 @@
 async fn what_may_repeat_leaves_a_silent_replica() {
     let mut configuration = TestConfiguration::default();
     for prefix in ["/read/", "/gloss/"] {
-        configuration.find(prefix)["target_latency_ms"] = json!(50);
-        configuration.find(prefix)["target_gap_ms"] = json!(50);
+        configuration.route_mut(prefix)["target_latency_ms"] = json!(50);
+        configuration.route_mut(prefix)["target_gap_ms"] = json!(50);
     }
     let fleet = fleet_with(1, configuration, &json!({})).await;
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
@@ -398,7 +398,7 @@
 #[tokio::test]
 async fn a_request_whose_time_passes_is_answered_then() {
     let mut configuration = TestConfiguration::default();
-    configuration.find("/write/")["timeout_ms"] = json!(300);
+    configuration.route_mut("/write/")["timeout_ms"] = json!(300);
     let fleet = fleet_with(1, configuration, &json!({})).await;
     services(&fleet, |_| Script::from_steps(vec![Step::Silence]));
     let reply = answered(&fleet, request("POST", "/write/a", "t1")).await;
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -210,7 +210,7 @@
 #[tokio::test]
 async fn anonymous_routes_need_no_key_and_name_no_workspace() {
     let mut configuration = TestConfiguration::default();
-    configuration.find("/read/")["anonymous"] = json!(true);
+    configuration.route_mut("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, configuration, &json!({})).await;
     let sent = Call::new("GET", HOST, "/read/a", "1").with("X-Tenant", WORKSPACE);
     assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the route of a prefix.
-    pub fn find(&mut self, prefix: &str) -> &mut Value {
+    pub fn route_mut(&mut self, prefix: &str) -> &mut Value {
         let routes = self.value["routes"].as_array_mut().expect("a list of routes");
         routes
             .iter_mut()
