--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -25,7 +25,7 @@
 
 fn new_route(fleet: &mut Fleet) {
     fleet.configuration.next_version();
-    fleet.configuration.route("/new/", "safe", ARCHIVE, 2);
+    fleet.configuration.add_route("/new/", "safe", ARCHIVE, 2);
     fleet.publish_configuration();
 }
 
@@ -309,7 +309,7 @@
     router.wait_for_events("configuration_in_force", 1).await.unwrap();
     link.set_faults(|faults| faults.backward.bytes_per_s = Some(150_000));
     for number in 0..2_000 {
-        configuration.route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
+        configuration.add_route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
     }
     configuration.next_version();
     store.put_json("op/config", &configuration.value);
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -43,10 +43,10 @@
                 "tenants": [{ "name": WORKSPACE, "api_keys": [KEY], "priority": 1 }],
             }),
         };
-        configuration.route("/read/", "safe", ARCHIVE, 2);
-        configuration.route("/write/", "unsafe", ARCHIVE, 1);
-        configuration.route("/chat/", "streaming", CHAT, 1);
-        configuration.route("/gloss/", "streaming", CHAT, 2)["resumable"] = json!(true);
+        configuration.add_route("/read/", "safe", ARCHIVE, 2);
+        configuration.add_route("/write/", "unsafe", ARCHIVE, 1);
+        configuration.add_route("/chat/", "streaming", CHAT, 1);
+        configuration.add_route("/gloss/", "streaming", CHAT, 2)["resumable"] = json!(true);
         configuration
     }
 }
@@ -64,7 +64,13 @@
 
 impl TestConfiguration {
     /// Adds a route and returns it.
-    pub fn route(&mut self, prefix: &str, kind: &str, service: &str, attempts: u32) -> &mut Value {
+    pub fn add_route(
+        &mut self,
+        prefix: &str,
+        kind: &str,
+        service: &str,
+        attempts: u32,
+    ) -> &mut Value {
         let routes = self.value["routes"].as_array_mut().expect("a list of routes");
         routes.push(json!({
             "name": format!("r{prefix}"), "host": HOST, "prefix": prefix, "kind": kind,
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -228,7 +228,7 @@
     pub(super) fn publish_next_version(&mut self) {
         self.configuration.next_version();
         let version = self.configuration.value["version"].as_u64().unwrap_or_default();
-        self.configuration.route(&version_route_prefix(version), "safe", ARCHIVE, 2);
+        self.configuration.add_route(&version_route_prefix(version), "safe", ARCHIVE, 2);
         self.store.put_json("op/config", &self.configuration.value);
         self.newest_version.store(version, Ordering::Relaxed);
     }
