--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use teaselworks_standin::caller::Call;
-use teaselworks_standin::configuration::{HOST, KEY, TestConfiguration};
+use teaselworks_standin::configuration::{API_KEY, HOST, TestConfiguration};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::router::Program;
 
@@ -26,7 +26,7 @@
 
 /// Returns a request with a key and a deadline.
 pub fn request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "6000")
+    Call::new(method, HOST, target, id).key(API_KEY).with("X-Deadline-Ms", "6000")
 }
 
 /// Returns a request whose prompt shares a part with others of the same chat.
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, fleet_with, request};
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection, call};
-use teaselworks_standin::configuration::{HOST, KEY, TestConfiguration, WORKSPACE};
+use teaselworks_standin::configuration::{API_KEY, HOST, TestConfiguration, WORKSPACE};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{Script, Step};
 
@@ -51,7 +51,7 @@
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     let head = format!(
         "POST /write/a HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: c1\r\n\
-         Authorization: Bearer {KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
+         Authorization: Bearer {API_KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
     connection.write(head.as_bytes()).await.unwrap();
     for chunk in ["3\r\nabc\r\n", "4;x=y\r\ndefg\r\n", "0\r\n\r\n"] {
@@ -81,14 +81,14 @@
     let address = fleet.routers[0].callers_address();
     let cases = [
         (request("GET", "/elsewhere/a", "1"), 404),
-        (Call::new("GET", "other.example", "/read/a", "2").key(KEY), 404),
+        (Call::new("GET", "other.example", "/read/a", "2").key(API_KEY), 404),
         (Call::new("GET", HOST, "/read/a", "3"), 401),
         (Call::new("GET", HOST, "/read/a", "4").key("unknown"), 401),
         (request("POST", "/write/a", "5").with("Content-Length", "2097152"), 413),
         (request("GET", "/read/a", "6").with("X-Request-Id", "7"), 400),
         (request("GET", "/read/a", "8").with("Host", "other.example"), 400),
         (request("GET", "/read/a", "9").with("X-Deadline-Ms", "7000"), 400),
-        (Call::new("GET", HOST, "/read/a", "10").key(KEY).with("X-Deadline-Ms", "soon"), 400),
+        (Call::new("GET", HOST, "/read/a", "10").key(API_KEY).with("X-Deadline-Ms", "soon"), 400),
     ];
     for (sent, status) in cases {
         let reply = call(address, &sent).await.unwrap();
@@ -115,7 +115,7 @@
         let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
         let head = format!(
             "POST /write/a HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: s{number}\r\n\
-             Authorization: Bearer {KEY}\r\n{framing}"
+             Authorization: Bearer {API_KEY}\r\n{framing}"
         );
         connection.write(head.as_bytes()).await.unwrap();
         while let Ok(Some(reply)) = connection.reply().await {
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -8,14 +8,14 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection, call};
-use teaselworks_standin::configuration::{HOST, KEY};
+use teaselworks_standin::configuration::{API_KEY, HOST};
 use teaselworks_standin::fleet::wait_until;
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::Script;
 
 /// Returns a request whose caller waits for less than a stop lasts.
 fn short(id: &str) -> Call {
-    Call::new("GET", HOST, "/read/a", id).key(KEY).with("X-Deadline-Ms", "1500")
+    Call::new("GET", HOST, "/read/a", id).key(API_KEY).with("X-Deadline-Ms", "1500")
 }
 
 /// Guards against answers that a planned stop cuts, and callers that are closed unanswered.
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection};
-use teaselworks_standin::configuration::{CHAT, HOST, KEY, entry};
+use teaselworks_standin::configuration::{API_KEY, CHAT, HOST, entry};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::program::main_of;
 use teaselworks_standin::router::Program;
@@ -126,7 +126,7 @@
 
 /// Builds a request with a deadline of one minute.
 fn build_request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "60000")
+    Call::new(method, HOST, target, id).key(API_KEY).with("X-Deadline-Ms", "60000")
 }
 
 /// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -9,7 +9,7 @@
 
 use nix::sys::signal::Signal;
 use teaselworks_standin::caller::{Call, call};
-use teaselworks_standin::configuration::{HOST, KEY};
+use teaselworks_standin::configuration::{API_KEY, HOST};
 use teaselworks_standin::engine::{Cache, behaviour};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::program::main_of;
@@ -72,7 +72,7 @@
 async fn send_turn(router: &Router, chat: u32, turn: u32) -> Result<(), Box<dyn Error>> {
     let prefix = format!("a:400,{:x}:1200,{:x}:60", 0x100 + chat, 0x10_000 + chat * TURNS + turn);
     let request = Call::new("POST", HOST, "/gloss/verse", &format!("{chat}-{turn}"))
-        .key(KEY)
+        .key(API_KEY)
         .with("X-Model", "m")
         .with("X-Token-Usage", "1660,84")
         .with("X-Prompt-Prefix", &prefix)
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -9,7 +9,7 @@
 /// Host of every route.
 pub const HOST: &str = "archive.example";
 /// Key of the workspace [`WORKSPACE`].
-pub const KEY: &str = "key-of-the-choir";
+pub const API_KEY: &str = "key-of-the-choir";
 /// The workspace of most requests.
 pub const WORKSPACE: &str = "choir";
 /// Service of engines.
@@ -40,7 +40,7 @@
                     "max_header_bytes": 16_384, "max_body_bytes": 1_048_576,
                     "header_timeout_ms": 1_000, "idle_timeout_ms": 5_000
                 },
-                "tenants": [{ "name": WORKSPACE, "api_keys": [KEY], "priority": 1 }],
+                "tenants": [{ "name": WORKSPACE, "api_keys": [API_KEY], "priority": 1 }],
             }),
         };
         configuration.add_route("/read/", "safe", ARCHIVE, 2);
