--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -6,7 +6,7 @@
 
 use common::{chat, fleet, request};
 use teaselworks_standin::caller::{Connection, call};
-use teaselworks_standin::configuration::{ARCHIVE, CHAT};
+use teaselworks_standin::configuration::{ARCHIVE, CHAT_SERVICE};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::{Script, Step, chunk, event, stream_head};
@@ -17,8 +17,8 @@
 /// Leaves one engine, behind a proxy, that falls silent after the first event of each stream.
 async fn silent_engine(fleet: &Fleet) -> Proxy {
     let proxy = Proxy::start(fleet.engines[0].address()).unwrap();
-    fleet.list(&fleet.engines[1], CHAT, "draining");
-    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT, "ready");
+    fleet.list(&fleet.engines[1], CHAT_SERVICE, "draining");
+    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.engines[0].set_behaviour(|received| {
         let first = [stream_head(received.id()), chunk(&event(1))].concat();
@@ -31,7 +31,7 @@
     proxy.stall();
     fleet.engines[0].set_behaviour(|received| Script::stream(received, 1..4, Duration::ZERO, true));
     fleet.engines[0].restart().await.unwrap();
-    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT, "ready");
+    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
 }
 
 /// Guards against a request that waits until its deadline for a replica that started again.
@@ -65,7 +65,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     fleet.engines[1].set_behaviour(|received| Script::stream(received, 2..6, Duration::ZERO, true));
-    fleet.list(&fleet.engines[1], CHAT, "ready");
+    fleet.list(&fleet.engines[1], CHAT_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_serving", 6).await.unwrap();
     restart_behind_the_cut(&fleet, &proxy).await;
     let reply = streaming.await.unwrap().unwrap();
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -13,7 +13,7 @@
 /// The workspace of most requests.
 pub const WORKSPACE: &str = "choir";
 /// Service of engines.
-pub const CHAT: &str = "chat";
+pub const CHAT_SERVICE: &str = "chat";
 /// Plain service.
 pub const ARCHIVE: &str = "archive";
 
@@ -33,7 +33,7 @@
                 "version": 1,
                 "routes": [],
                 "services": [
-                    service(CHAT, &json!({ "slots": 48, "kv_capacity": 700_000, "moves": true })),
+                    service(CHAT_SERVICE, &json!({ "slots": 48, "kv_capacity": 700_000, "moves": true })),
                     service(ARCHIVE, &Value::Null),
                 ],
                 "limits": {
@@ -45,8 +45,8 @@
         };
         configuration.add_route("/read/", "safe", ARCHIVE, 2);
         configuration.add_route("/write/", "unsafe", ARCHIVE, 1);
-        configuration.add_route("/chat/", "streaming", CHAT, 1);
-        configuration.add_route("/gloss/", "streaming", CHAT, 2)["resumable"] = json!(true);
+        configuration.add_route("/chat/", "streaming", CHAT_SERVICE, 1);
+        configuration.add_route("/gloss/", "streaming", CHAT_SERVICE, 2)["resumable"] = json!(true);
         configuration
     }
 }
@@ -75,7 +75,7 @@
         routes.push(json!({
             "name": format!("r{prefix}"), "host": HOST, "prefix": prefix, "kind": kind,
             "timeout_ms": 8_000.0, "target_latency_ms": 400, "priority": 1, "service": service,
-            "max_attempts": attempts, "anonymous": false, "sticky": service == CHAT,
+            "max_attempts": attempts, "anonymous": false, "sticky": service == CHAT_SERVICE,
             "resumable": false, "target_gap_ms": 400
         }));
         routes.last_mut().expect("it was just added")
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use crate::configuration::{ARCHIVE, CHAT, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE, CHAT_SERVICE, TestConfiguration, entry};
 use crate::router::{Program, Router};
 use crate::store::Store;
 use crate::upstream::{ReceivedRequest, Script, Upstream};
@@ -57,7 +57,7 @@
         let mut fleet = Self { store, engines, services, routers: Vec::new(), configuration };
         fleet.publish_configuration();
         for upstream in &fleet.engines {
-            fleet.list(upstream, CHAT, "ready");
+            fleet.list(upstream, CHAT_SERVICE, "ready");
         }
         for upstream in &fleet.services {
             fleet.list(upstream, ARCHIVE, "ready");
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use super::record::{Bug, Recorder};
-use crate::configuration::{ARCHIVE, CHAT, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE, CHAT_SERVICE, TestConfiguration, entry};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
 use crate::store::{Mode, Store};
@@ -197,7 +197,7 @@
             started_replicas: 0,
         };
         fleet.publish_next_version();
-        for service in [ARCHIVE, CHAT] {
+        for service in [ARCHIVE, CHAT_SERVICE] {
             for _ in 0..REPLICAS_PER_SERVICE {
                 fleet.add_replica(service)?;
             }
