--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, fleet_with, request};
 use serde_json::json;
 use teaselworks_standin::caller::{Connection, Reply, call};
-use teaselworks_standin::configuration::{ARCHIVE, TestConfiguration};
+use teaselworks_standin::configuration::{ARCHIVE_SERVICE, TestConfiguration};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{
     ReceivedRequest, Script, Step, chunk, event, response_bytes, stream_head,
@@ -437,5 +437,5 @@
         let expected = received.head.header("x-expect-instance").unwrap().to_owned();
         assert!(fleet.services.iter().any(|service| service.id == expected));
     }
-    fleet.list(&fleet.services[0], ARCHIVE, "ready");
+    fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "ready");
 }
--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -7,7 +7,7 @@
 use common::{chat, fleet, program, request};
 use serde_json::json;
 use teaselworks_standin::caller::call;
-use teaselworks_standin::configuration::{ARCHIVE, TestConfiguration};
+use teaselworks_standin::configuration::{ARCHIVE_SERVICE, TestConfiguration};
 use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::router::Router;
@@ -25,7 +25,7 @@
 
 fn new_route(fleet: &mut Fleet) {
     fleet.configuration.next_version();
-    fleet.configuration.add_route("/new/", "safe", ARCHIVE, 2);
+    fleet.configuration.add_route("/new/", "safe", ARCHIVE_SERVICE, 2);
     fleet.publish_configuration();
 }
 
@@ -77,7 +77,12 @@
     let mut fleet = fleet(1).await;
     let good = |fleet: &Fleet| {
         let service = &fleet.services[0];
-        teaselworks_standin::configuration::entry(service, service.address(), ARCHIVE, "ready")
+        teaselworks_standin::configuration::entry(
+            service,
+            service.address(),
+            ARCHIVE_SERVICE,
+            "ready",
+        )
     };
     let mut bad = good(&fleet);
     bad["state"] = json!("resting");
@@ -100,7 +105,7 @@
     assert!(fleet.services[0].received_requests().is_empty());
 
     fleet.store.put_json("servers/service-1", &good(&fleet));
-    fleet.list(&fleet.services[1], ARCHIVE, "draining");
+    fleet.list(&fleet.services[1], ARCHIVE_SERVICE, "draining");
     answers(&fleet.routers[0], "/read/a", 200).await;
     wait_until("the replica is used again", async || {
         status(&fleet.routers[0], "/read/a", "again").await;
@@ -220,7 +225,7 @@
     fleet.store.set_mode(Mode::Busy);
     fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     new_route(&mut fleet);
-    fleet.list(&fleet.services[0], ARCHIVE, "draining");
+    fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "draining");
     fleet.unlist("service-2");
     fleet.store.compact();
     fleet.store.set_mode(Mode::Serving);
@@ -233,7 +238,7 @@
 #[tokio::test]
 async fn a_draining_replica_finishes_and_gets_nothing_new() {
     let fleet = fleet(1).await;
-    fleet.list(&fleet.services[0], ARCHIVE, "draining");
+    fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "draining");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     for turn in 0..10 {
         assert_eq!(status(&fleet.routers[0], "/read/a", &format!("d{turn}")).await, 200);
@@ -245,12 +250,12 @@
 async fn an_added_replica_is_used() {
     let fleet = fleet(1).await;
     for service in &fleet.services {
-        fleet.list(service, ARCHIVE, "draining");
+        fleet.list(service, ARCHIVE_SERVICE, "draining");
     }
     fleet.routers[0].wait_for_events("upstream_draining", 2).await.unwrap();
     let added =
         Upstream::start("service-3", |received| Script::response(received, 200, "new")).unwrap();
-    fleet.list(&added, ARCHIVE, "ready");
+    fleet.list(&added, ARCHIVE_SERVICE, "ready");
     answers(&fleet.routers[0], "/read/a", 200).await;
     assert!(!added.received_requests().is_empty());
 }
@@ -268,7 +273,7 @@
     fleet.store.set_mode(Mode::Serving);
     fleet.routers[0].wait_for_events("upstream_missing", 2).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "missing").await, 200);
-    fleet.list(&fleet.services[0], ARCHIVE, "ready");
+    fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "ready");
     // The other one does not come back.
     fleet.routers[0].wait_for_events("upstream_gone", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
@@ -309,7 +314,7 @@
     router.wait_for_events("configuration_in_force", 1).await.unwrap();
     link.set_faults(|faults| faults.backward.bytes_per_s = Some(150_000));
     for number in 0..2_000 {
-        configuration.add_route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
+        configuration.add_route(&format!("/many/{number}/"), "safe", ARCHIVE_SERVICE, 2);
     }
     configuration.next_version();
     store.put_json("op/config", &configuration.value);
--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -7,7 +7,7 @@
 use common::{fleet, request};
 use nix::sys::signal::Signal;
 use teaselworks_standin::caller::call;
-use teaselworks_standin::configuration::ARCHIVE;
+use teaselworks_standin::configuration::ARCHIVE_SERVICE;
 use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::upstream::{Script, Step};
 
@@ -16,7 +16,7 @@
 
 async fn add_route(fleet: &mut Fleet, prefix: &str) {
     fleet.configuration.next_version();
-    fleet.configuration.add_route(prefix, "safe", ARCHIVE, 2);
+    fleet.configuration.add_route(prefix, "safe", ARCHIVE_SERVICE, 2);
     fleet.publish_configuration();
     for router in &fleet.routers {
         let target = format!("{prefix}a");
@@ -56,7 +56,7 @@
 async fn a_large_configuration_is_read_from_the_store_by_each_router() {
     let mut fleet = fleet(ROUTERS).await;
     for number in 0..400 {
-        fleet.configuration.add_route(&format!("/many/{number}/"), "safe", ARCHIVE, 2);
+        fleet.configuration.add_route(&format!("/many/{number}/"), "safe", ARCHIVE_SERVICE, 2);
     }
     add_route(&mut fleet, "/large/").await;
     for router in &fleet.routers {
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -6,7 +6,7 @@
 
 use common::{chat, fleet, request};
 use teaselworks_standin::caller::{Connection, call};
-use teaselworks_standin::configuration::{ARCHIVE, CHAT_SERVICE};
+use teaselworks_standin::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::{Script, Step, chunk, event, stream_head};
@@ -80,8 +80,8 @@
 async fn what_reached_an_earlier_start_may_have_run() {
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.services[0].address()).unwrap();
-    fleet.list(&fleet.services[1], ARCHIVE, "draining");
-    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
+    fleet.list(&fleet.services[1], ARCHIVE_SERVICE, "draining");
+    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.services[0].set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
     let address = fleet.routers[0].callers_address();
@@ -94,7 +94,7 @@
     proxy.stall();
     fleet.services[0].set_behaviour(|received| Script::response(received, 200, "a verse"));
     fleet.services[0].restart().await.unwrap();
-    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
+    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     let since = Instant::now();
     assert_eq!(waiting.await.unwrap().unwrap().status(), 502);
     assert!(since.elapsed() < AT_ONCE, "{:?}", since.elapsed());
@@ -106,15 +106,15 @@
 async fn kept_connections_of_an_earlier_start_are_closed() {
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.services[0].address()).unwrap();
-    fleet.list(&fleet.services[1], ARCHIVE, "draining");
-    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
+    fleet.list(&fleet.services[1], ARCHIVE_SERVICE, "draining");
+    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let address = fleet.routers[0].callers_address();
     assert_eq!(call(address, &request("POST", "/write/a", "w1")).await.unwrap().status(), 200);
 
     proxy.stall();
     fleet.services[0].restart().await.unwrap();
-    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE, "ready");
+    fleet.list_at(&fleet.services[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     let reply = call(address, &request("POST", "/write/a", "w2")).await.unwrap();
     assert_eq!((reply.status(), fleet.services[0].run_count("w2")), (200, 1));
@@ -127,15 +127,15 @@
     let earlier = teaselworks_standin::configuration::entry(
         &fleet.services[0],
         ([127, 0, 0, 1], 9).into(),
-        ARCHIVE,
+        ARCHIVE_SERVICE,
         "ready",
     );
     fleet.services[0].restart().await.unwrap();
-    fleet.list(&fleet.services[0], ARCHIVE, "ready");
+    fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     fleet.store.put_json("servers/service-1", &earlier);
     fleet.routers[0].wait_for_events("upstream_stale", 1).await.unwrap();
-    fleet.list(&fleet.services[1], ARCHIVE, "draining");
+    fleet.list(&fleet.services[1], ARCHIVE_SERVICE, "draining");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let reply =
         call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -15,7 +15,7 @@
 /// Service of engines.
 pub const CHAT_SERVICE: &str = "chat";
 /// Plain service.
-pub const ARCHIVE: &str = "archive";
+pub const ARCHIVE_SERVICE: &str = "archive";
 
 /// A configuration that grows by calls.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
                 "routes": [],
                 "services": [
                     service(CHAT_SERVICE, &json!({ "slots": 48, "kv_capacity": 700_000, "moves": true })),
-                    service(ARCHIVE, &Value::Null),
+                    service(ARCHIVE_SERVICE, &Value::Null),
                 ],
                 "limits": {
                     "max_header_bytes": 16_384, "max_body_bytes": 1_048_576,
@@ -43,8 +43,8 @@
                 "tenants": [{ "name": WORKSPACE, "api_keys": [API_KEY], "priority": 1 }],
             }),
         };
-        configuration.add_route("/read/", "safe", ARCHIVE, 2);
-        configuration.add_route("/write/", "unsafe", ARCHIVE, 1);
+        configuration.add_route("/read/", "safe", ARCHIVE_SERVICE, 2);
+        configuration.add_route("/write/", "unsafe", ARCHIVE_SERVICE, 1);
         configuration.add_route("/chat/", "streaming", CHAT_SERVICE, 1);
         configuration.add_route("/gloss/", "streaming", CHAT_SERVICE, 2)["resumable"] = json!(true);
         configuration
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use crate::configuration::{ARCHIVE, CHAT_SERVICE, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, entry};
 use crate::router::{Program, Router};
 use crate::store::Store;
 use crate::upstream::{ReceivedRequest, Script, Upstream};
@@ -60,7 +60,7 @@
             fleet.list(upstream, CHAT_SERVICE, "ready");
         }
         for upstream in &fleet.services {
-            fleet.list(upstream, ARCHIVE, "ready");
+            fleet.list(upstream, ARCHIVE_SERVICE, "ready");
         }
         for number in 0..routers {
             let seeds: Vec<_> = fleet.routers.iter().map(Router::peers_address).collect();
--- a/teaselworks_standin/src/soak/checks.rs
+++ b/teaselworks_standin/src/soak/checks.rs
@@ -8,7 +8,7 @@
     DRAINING_BOUND, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, STOP_GRACE, event_count,
 };
 use super::record::{Arrival, Bug, FaultSpan, Observations, Outcome, Recorder, RequestRecord};
-use crate::configuration::{ARCHIVE, CHAT_SERVICE};
+use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE};
 
 /// Time after the end of a fault from which guarantees with a time bound hold again.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
@@ -162,7 +162,7 @@
 /// budget: a fixed number plus a share of the requests. The share is taken of the busiest of three
 /// windows, which start at the same time, half a window earlier and a whole window earlier.
 fn check_retries(observations: &Observations, violations: &mut Vec<Violation>) {
-    for service in [ARCHIVE, CHAT_SERVICE] {
+    for service in [ARCHIVE_SERVICE, CHAT_SERVICE] {
         let is_at_service = |arrival: &&Arrival| arrival.upstream.starts_with(service);
         let mut seen_ids = HashSet::new();
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use super::record::{Bug, Recorder};
-use crate::configuration::{ARCHIVE, CHAT_SERVICE, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, entry};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
 use crate::store::{Mode, Store};
@@ -125,7 +125,7 @@
         return Script::rejected(received);
     }
     let mut steps = Vec::new();
-    if service == ARCHIVE {
+    if service == ARCHIVE_SERVICE {
         steps.push(Step::Pause(EVENT_INTERVAL));
         steps.push(Step::Write(response_bytes(id, 200, &response_body(id))));
     } else {
@@ -197,7 +197,7 @@
             started_replicas: 0,
         };
         fleet.publish_next_version();
-        for service in [ARCHIVE, CHAT_SERVICE] {
+        for service in [ARCHIVE_SERVICE, CHAT_SERVICE] {
             for _ in 0..REPLICAS_PER_SERVICE {
                 fleet.add_replica(service)?;
             }
@@ -228,7 +228,7 @@
     pub(super) fn publish_next_version(&mut self) {
         self.configuration.next_version();
         let version = self.configuration.value["version"].as_u64().unwrap_or_default();
-        self.configuration.add_route(&version_route_prefix(version), "safe", ARCHIVE, 2);
+        self.configuration.add_route(&version_route_prefix(version), "safe", ARCHIVE_SERVICE, 2);
         self.store.put_json("op/config", &self.configuration.value);
         self.newest_version.store(version, Ordering::Relaxed);
     }
