--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -77,7 +77,7 @@
     let mut fleet = fleet(1).await;
     let good = |fleet: &Fleet| {
         let service = &fleet.services[0];
-        teaselworks_standin::configuration::entry(
+        teaselworks_standin::configuration::upstream_entry(
             service,
             service.address(),
             ARCHIVE_SERVICE,
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -124,7 +124,7 @@
 #[tokio::test]
 async fn an_entry_of_an_earlier_start_changes_nothing() {
     let fleet = fleet(1).await;
-    let earlier = teaselworks_standin::configuration::entry(
+    let earlier = teaselworks_standin::configuration::upstream_entry(
         &fleet.services[0],
         ([127, 0, 0, 1], 9).into(),
         ARCHIVE_SERVICE,
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection};
-use teaselworks_standin::configuration::{API_KEY, CHAT_SERVICE, HOST, entry};
+use teaselworks_standin::configuration::{API_KEY, CHAT_SERVICE, HOST, upstream_entry};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::program::main_of;
 use teaselworks_standin::router::Program;
@@ -102,7 +102,7 @@
         let mut fleet = Fleet::start(program.clone(), 1).await?;
         for number in 0..replicas {
             let address = ([127, 0, 0, 1], 9).into();
-            let entry = entry(&fleet.engines[0], address, CHAT_SERVICE, "ready");
+            let entry = upstream_entry(&fleet.engines[0], address, CHAT_SERVICE, "ready");
             fleet.store.put_json(&format!("servers/more-{number}"), &entry);
         }
         let tenants = fleet.configuration.value["tenants"]
--- a/teaselworks_standin/src/configuration.rs
+++ b/teaselworks_standin/src/configuration.rs
@@ -98,7 +98,12 @@
 }
 
 /// Returns the entry of a replica that is reached at `address`.
-pub fn entry(upstream: &Upstream, address: SocketAddr, service: &str, state: &str) -> Value {
+pub fn upstream_entry(
+    upstream: &Upstream,
+    address: SocketAddr,
+    service: &str,
+    state: &str,
+) -> Value {
     json!({
         "service": service, "address": address.to_string(), "zone": "a", "version": "v1",
         "slots": 8, "state": state, "cold_remaining_ms": 0, "sequence": 4,
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, upstream_entry};
 use crate::router::{Program, Router};
 use crate::store::Store;
 use crate::upstream::{ReceivedRequest, Script, Upstream};
@@ -91,7 +91,7 @@
 
     /// Writes the entry of a replica that is reached through another address.
     pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, service: &str, state: &str) {
-        let entry = entry(upstream, address, service, state);
+        let entry = upstream_entry(upstream, address, service, state);
         self.store.put_json(&format!("servers/{}", upstream.id), &entry);
     }
 
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use super::record::{Bug, Recorder};
-use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, entry};
+use crate::configuration::{ARCHIVE_SERVICE, CHAT_SERVICE, TestConfiguration, upstream_entry};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::router::{Program, Router};
 use crate::store::{Mode, Store};
@@ -245,7 +245,8 @@
 
     /// Writes a replica's entry to the store.
     pub(super) fn list(&self, replica: &Replica, state: &str) {
-        let entry = entry(&replica.upstream, replica.proxy.address(), replica.service, state);
+        let entry =
+            upstream_entry(&replica.upstream, replica.proxy.address(), replica.service, state);
         self.store.put_json(&format!("servers/{}", replica.upstream.id), &entry);
     }
 
