--- a/teaselworks_standin/src/engine.rs
+++ b/teaselworks_standin/src/engine.rs
@@ -17,7 +17,7 @@
 
 /// Parts that one engine keeps.
 #[derive(Clone, Debug, Default)]
-pub struct Cache {
+pub struct PromptCache {
     state: Arc<Mutex<State>>,
 }
 
@@ -27,7 +27,7 @@
     tokens: Tokens,
 }
 
-impl Cache {
+impl PromptCache {
     /// Returns the tokens so far.
     pub fn tokens(&self) -> Tokens {
         self.lock().tokens
@@ -55,7 +55,11 @@
 }
 
 /// Returns the behaviour of an engine that answers each request with `events` events.
-pub fn behaviour(cache: Cache, events: u32, gap: Duration) -> impl Fn(&ReceivedRequest) -> Script {
+pub fn behaviour(
+    cache: PromptCache,
+    events: u32,
+    gap: Duration,
+) -> impl Fn(&ReceivedRequest) -> Script {
     move |received| {
         cache.read(received.head.header("x-prompt-prefix").unwrap_or_default());
         let last = received.head.header("last-event-id").and_then(|id| id.parse().ok());
