--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -10,7 +10,7 @@
 use nix::sys::signal::Signal;
 use teaselworks_standin::caller::{Call, call};
 use teaselworks_standin::configuration::{API_KEY, HOST};
-use teaselworks_standin::engine::{PromptCache, behaviour};
+use teaselworks_standin::engine::{PromptCache, engine_behaviour};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::program::main_of;
 use teaselworks_standin::router::{Program, Router};
@@ -32,7 +32,7 @@
     let mut fleet = Fleet::start(Program::binary(std::env::current_exe()?), 3).await?;
     let caches = [PromptCache::default(), PromptCache::default()];
     for (engine, cache) in fleet.engines.iter().zip(&caches) {
-        engine.set_behaviour(behaviour(cache.clone(), EVENTS, EVENT_INTERVAL));
+        engine.set_behaviour(engine_behaviour(cache.clone(), EVENTS, EVENT_INTERVAL));
     }
     println!("3 routers, 2 engines; {CHATS} chats of {TURNS} turns, each turn at another router");
     for turn in 0..TURNS {
--- a/teaselworks_standin/src/engine.rs
+++ b/teaselworks_standin/src/engine.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns the behaviour of an engine that answers each request with `events` events.
-pub fn behaviour(
+pub fn engine_behaviour(
     cache: PromptCache,
     events: u32,
     gap: Duration,
