--- a/teaselworks_standin/src/proxy.rs
+++ b/teaselworks_standin/src/proxy.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectionFaults {
     /// Bytes wait and nothing is passed on, while connections stay open.
-    pub frozen: bool,
+    pub is_frozen: bool,
     /// Time that each piece is held back.
     pub delay: Duration,
     /// Highest rate in bytes a second.
@@ -113,8 +113,8 @@
     /// Freezes both directions or lets them go on; new connections open but carry nothing.
     pub fn set_frozen(&self, frozen: bool) {
         self.set_faults(|faults| {
-            faults.forward.frozen = frozen;
-            faults.backward.frozen = frozen;
+            faults.forward.is_frozen = frozen;
+            faults.backward.is_frozen = frozen;
         });
     }
 
@@ -226,7 +226,7 @@
         let mut passed_bytes = 0;
         loop {
             let length = reader.read(&mut buffer).await?;
-            let thawed = faults.wait_for(|faults| !direction.of(faults).frozen).await;
+            let thawed = faults.wait_for(|faults| !direction.of(faults).is_frozen).await;
             let current = thawed.map(|faults| direction.of(&faults).clone()).unwrap_or_default();
             tokio::time::sleep(current.delay).await;
             if length == 0 {
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -305,9 +305,9 @@
         Fault::RestartReplica(replica) => fleet.replicas[replica].upstream.restart().await?,
         Fault::DegradeReplica(replica, mode) => fleet.replicas[replica].set_mode(mode),
         Fault::FreezeLink(link, forward, backward) => proxy(fleet, link).set_faults(|faults| {
-            faults.forward.frozen = forward;
+            faults.forward.is_frozen = forward;
             // At least one direction is frozen.
-            faults.backward.frozen = backward || !forward;
+            faults.backward.is_frozen = backward || !forward;
         }),
         Fault::DelayLink(link, delay_ms) => proxy(fleet, link).set_faults(|faults| {
             let delay = Duration::from_millis(delay_ms);
