--- a/teaselworks_standin/src/proxy.rs
+++ b/teaselworks_standin/src/proxy.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyFaults {
     /// New connections are refused.
-    pub refuse: bool,
+    pub is_refusing: bool,
     /// From the connecting side to the target.
     pub forward: DirectionFaults,
     /// From the target to the connecting side.
@@ -165,7 +165,7 @@
     async fn accept(mut self, guard: PortGuard, listener: TcpListener) {
         let mut listener = Some(listener);
         loop {
-            let refuse = self.faults.borrow_and_update().refuse;
+            let refuse = self.faults.borrow_and_update().is_refusing;
             if refuse {
                 listener = None;
             } else if listener.is_none() {
