--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn requests_are_served_while_the_store_is_away() {
     let mut fleet = fleet(1).await;
-    for mode in [Mode::Busy, Mode::Silent] {
+    for mode in [Mode::Unavailable, Mode::Silent] {
         fleet.store.set_mode(mode);
         let lost = fleet.routers[0].events("store_lost").len();
         fleet.routers[0].wait_for_events("store_lost", lost + 1).await.unwrap();
@@ -222,7 +222,7 @@
 #[tokio::test]
 async fn changes_in_forgotten_history_are_read_again() {
     let mut fleet = fleet(1).await;
-    fleet.store.set_mode(Mode::Busy);
+    fleet.store.set_mode(Mode::Unavailable);
     fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     new_route(&mut fleet);
     fleet.list(&fleet.services[0], ARCHIVE_SERVICE, "draining");
@@ -264,7 +264,7 @@
 #[tokio::test]
 async fn entries_that_lapsed_in_an_outage_are_used_until_they_are_back() {
     let fleet = fleet(1).await;
-    fleet.store.set_mode(Mode::Busy);
+    fleet.store.set_mode(Mode::Unavailable);
     fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for service in &fleet.services {
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -93,7 +93,7 @@
         let router = random.random_range(0..fleet.routers.len());
         let replica = random.random_range(0..REPLICA_COUNT);
         let link = if random.random() { Link::Store(router) } else { Link::Replica(replica) };
-        let mode = if random.random() { Mode::Busy } else { Mode::Silent };
+        let mode = if random.random() { Mode::Unavailable } else { Mode::Silent };
         match random.random_range(0..16) {
             0..3 => Self::random_planned(fleet, random),
             3 => Fault::KillRouter(router),
--- a/teaselworks_standin/src/store/mod.rs
+++ b/teaselworks_standin/src/store/mod.rs
@@ -34,7 +34,7 @@
     #[default]
     Serving,
     /// 503 to every call.
-    Busy,
+    Unavailable,
     /// Not at all.
     Silent,
 }
@@ -180,7 +180,7 @@
     let answered = async {
         match begun {
             Mode::Serving => handle(&shared, request).await,
-            Mode::Busy => json_answer(503, &json!({})),
+            Mode::Unavailable => json_answer(503, &json!({})),
             Mode::Silent => std::future::pending().await,
         }
     };
