--- a/teaselworks/tests/start.rs
+++ b/teaselworks/tests/start.rs
@@ -13,7 +13,7 @@
 /// Guards against a router that ends since its settings changed while it was starting.
 #[tokio::test]
 async fn a_hang_up_before_the_settings_are_read_ends_nothing() {
-    let ports = [(); 3].map(|()| PortGuard::take().unwrap());
+    let ports = [(); 3].map(|()| PortGuard::reserve().unwrap());
     let [callers, health, metrics] = ports.each_ref().map(PortGuard::address);
     let settings = json!({
         "router": { "name": "router-0", "zone": "a" },
--- a/teaselworks_standin/src/port.rs
+++ b/teaselworks_standin/src/port.rs
@@ -26,10 +26,10 @@
     ///
     /// # let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     /// # let _entered = runtime.enter();
-    /// let guard = PortGuard::take().unwrap();
+    /// let guard = PortGuard::reserve().unwrap();
     /// assert_ne!(guard.address().port(), 0);
     /// ```
-    pub fn take() -> io::Result<Self> {
+    pub fn reserve() -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
--- a/teaselworks_standin/src/proxy.rs
+++ b/teaselworks_standin/src/proxy.rs
@@ -75,7 +75,7 @@
 impl Proxy {
     /// Starts a proxy that passes everything on to `target`.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
-        let guard = PortGuard::take()?;
+        let guard = PortGuard::reserve()?;
         let address = guard.address();
         let listener = guard.listen()?;
         let (faults, fault_reader) = watch::channel(ProxyFaults::default());
--- a/teaselworks_standin/src/router.rs
+++ b/teaselworks_standin/src/router.rs
@@ -68,10 +68,10 @@
         bounds: &Value,
     ) -> io::Result<Self> {
         let ports = Ports {
-            callers: PortGuard::take()?,
-            health: PortGuard::take()?,
-            peers: PortGuard::take()?,
-            metrics: PortGuard::take()?,
+            callers: PortGuard::reserve()?,
+            health: PortGuard::reserve()?,
+            peers: PortGuard::reserve()?,
+            metrics: PortGuard::reserve()?,
         };
         let settings = json!({
             "router": { "name": name, "zone": "a" },
--- a/teaselworks_standin/src/store/mod.rs
+++ b/teaselworks_standin/src/store/mod.rs
@@ -56,7 +56,7 @@
 impl Store {
     /// Starts an empty store.
     pub fn start() -> io::Result<Self> {
-        let guard = PortGuard::take()?;
+        let guard = PortGuard::reserve()?;
         let listener = guard.listen()?;
         let shared = Arc::new(Shared {
             state: Mutex::default(),
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -188,7 +188,7 @@
             received_requests: Mutex::default(),
             aborted_requests: Mutex::default(),
         };
-        let guard = PortGuard::take()?;
+        let guard = PortGuard::reserve()?;
         let upstream = Self {
             id: id.into(),
             guard,
