--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -10,7 +10,7 @@
 use teaselworks_standin::caller::{Call, Connection};
 use teaselworks_standin::configuration::{API_KEY, CHAT_SERVICE, HOST, upstream_entry};
 use teaselworks_standin::fleet::Fleet;
-use teaselworks_standin::program::main_of;
+use teaselworks_standin::program::main_or_router;
 use teaselworks_standin::router::Program;
 use teaselworks_standin::upstream::{Script, Step};
 
@@ -31,7 +31,7 @@
 const OPEN_STREAMS: u32 = 1_000;
 
 fn main() -> ExitCode {
-    main_of(run)
+    main_or_router(run)
 }
 
 async fn run() -> Result<(), Box<dyn Error>> {
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -12,7 +12,7 @@
 use teaselworks_standin::configuration::{API_KEY, HOST};
 use teaselworks_standin::engine::{PromptCache, engine_behaviour};
 use teaselworks_standin::fleet::Fleet;
-use teaselworks_standin::program::main_of;
+use teaselworks_standin::program::main_or_router;
 use teaselworks_standin::router::{Program, Router};
 
 /// Number of chats.
@@ -25,7 +25,7 @@
 const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
 fn main() -> ExitCode {
-    main_of(run)
+    main_or_router(run)
 }
 
 async fn run() -> Result<(), Box<dyn Error>> {
--- a/teaselworks_standin/src/bin/soak.rs
+++ b/teaselworks_standin/src/bin/soak.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use clap::{Arg, Command, value_parser};
-use teaselworks_standin::program::main_of;
+use teaselworks_standin::program::main_or_router;
 use teaselworks_standin::router::Program;
 use teaselworks_standin::soak::{SoakSettings, run_soak};
 
 fn main() -> std::process::ExitCode {
-    main_of(run)
+    main_or_router(run)
 }
 
 async fn run() -> Result<(), Box<dyn Error>> {
--- a/teaselworks_standin/src/program.rs
+++ b/teaselworks_standin/src/program.rs
@@ -5,7 +5,7 @@
 
 /// Runs the program as a router where its first argument says so, or else `run` to its end; a failure
 /// is told on standard error.
-pub fn main_of<F>(run: impl FnOnce() -> F) -> ExitCode
+pub fn main_or_router<F>(run: impl FnOnce() -> F) -> ExitCode
 where
     F: Future<Output = Result<(), Box<dyn Error>>>,
 {
