--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -26,14 +26,14 @@
 
 /// Returns a request with a key and a deadline.
 pub fn request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(API_KEY).with("X-Deadline-Ms", "6000")
+    Call::new(method, HOST, target, id).key(API_KEY).with_header("X-Deadline-Ms", "6000")
 }
 
 /// Returns a request whose prompt shares a part with others of the same chat.
 pub fn chat(target: &str, id: &str, chat: u64) -> Call {
     request("POST", target, id)
-        .with("X-Model", "m")
-        .with("X-Token-Usage", "1000,50")
-        .with("X-Prompt-Prefix", &format!("a:100,{chat:x}:800,{id}:100"))
+        .with_header("X-Model", "m")
+        .with_header("X-Token-Usage", "1000,50")
+        .with_header("X-Prompt-Prefix", &format!("a:100,{chat:x}:800,{id}:100"))
         .body("Which verse is older?")
 }
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -15,13 +15,13 @@
 async fn a_request_reaches_a_replica_unchanged_but_for_what_routers_add() {
     let fleet = fleet(1).await;
     let sent = request("POST", "/write/tag?of=verse%201", "0a1b")
-        .with("X-Note", "kept")
-        .with("X-Tenant", "another")
-        .with("X-Cache-Hold", "7")
-        .with("Kv-From", "10.0.0.1:80/5")
-        .with("Kv-Fetch", "10.0.0.1:80")
-        .with("Connection", "X-Hop")
-        .with("X-Hop", "dropped")
+        .with_header("X-Note", "kept")
+        .with_header("X-Tenant", "another")
+        .with_header("X-Cache-Hold", "7")
+        .with_header("Kv-From", "10.0.0.1:80/5")
+        .with_header("Kv-Fetch", "10.0.0.1:80")
+        .with_header("Connection", "X-Hop")
+        .with_header("X-Hop", "dropped")
         .body("dialect: dolenjsko");
     let reply = call(fleet.routers[0].callers_address(), &sent).await.unwrap();
     assert_eq!((reply.status(), reply.text().as_str()), (200, "a verse"));
@@ -84,11 +84,16 @@
         (Call::new("GET", "other.example", "/read/a", "2").key(API_KEY), 404),
         (Call::new("GET", HOST, "/read/a", "3"), 401),
         (Call::new("GET", HOST, "/read/a", "4").key("unknown"), 401),
-        (request("POST", "/write/a", "5").with("Content-Length", "2097152"), 413),
-        (request("GET", "/read/a", "6").with("X-Request-Id", "7"), 400),
-        (request("GET", "/read/a", "8").with("Host", "other.example"), 400),
-        (request("GET", "/read/a", "9").with("X-Deadline-Ms", "7000"), 400),
-        (Call::new("GET", HOST, "/read/a", "10").key(API_KEY).with("X-Deadline-Ms", "soon"), 400),
+        (request("POST", "/write/a", "5").with_header("Content-Length", "2097152"), 413),
+        (request("GET", "/read/a", "6").with_header("X-Request-Id", "7"), 400),
+        (request("GET", "/read/a", "8").with_header("Host", "other.example"), 400),
+        (request("GET", "/read/a", "9").with_header("X-Deadline-Ms", "7000"), 400),
+        (
+            Call::new("GET", HOST, "/read/a", "10")
+                .key(API_KEY)
+                .with_header("X-Deadline-Ms", "soon"),
+            400,
+        ),
     ];
     for (sent, status) in cases {
         let reply = call(address, &sent).await.unwrap();
@@ -212,7 +217,7 @@
     let mut configuration = TestConfiguration::default();
     configuration.route_mut("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, configuration, &json!({})).await;
-    let sent = Call::new("GET", HOST, "/read/a", "1").with("X-Tenant", WORKSPACE);
+    let sent = Call::new("GET", HOST, "/read/a", "1").with_header("X-Tenant", WORKSPACE);
     assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -126,15 +126,15 @@
 
 /// Builds a request with a deadline of one minute.
 fn build_request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(API_KEY).with("X-Deadline-Ms", "60000")
+    Call::new(method, HOST, target, id).key(API_KEY).with_header("X-Deadline-Ms", "60000")
 }
 
 /// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has
 /// two parts of its own.
 fn chat_request(id: &str) -> Call {
     build_request("POST", "/chat/a", id)
-        .with("X-Token-Usage", "1000,1000")
-        .with("X-Prompt-Prefix", &format!("a:100,{id}:800,{id}1:100"))
+        .with_header("X-Token-Usage", "1000,1000")
+        .with_header("X-Prompt-Prefix", &format!("a:100,{id}:800,{id}1:100"))
         .body("Which verse is older?")
 }
 
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -73,10 +73,10 @@
     let prefix = format!("a:400,{:x}:1200,{:x}:60", 0x100 + chat, 0x10_000 + chat * TURNS + turn);
     let request = Call::new("POST", HOST, "/gloss/verse", &format!("{chat}-{turn}"))
         .key(API_KEY)
-        .with("X-Model", "m")
-        .with("X-Token-Usage", "1660,84")
-        .with("X-Prompt-Prefix", &prefix)
-        .with("X-Deadline-Ms", "8000")
+        .with_header("X-Model", "m")
+        .with_header("X-Token-Usage", "1660,84")
+        .with_header("X-Prompt-Prefix", &prefix)
+        .with_header("X-Deadline-Ms", "8000")
         .body("Which verse is older?");
     let reply = call(router.callers_address(), &request).await?;
     let expected: Vec<u32> = (1..=EVENTS).collect();
--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -35,7 +35,7 @@
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.into(), value.into()));
         self
     }
@@ -43,7 +43,7 @@
     /// Adds a key.
     pub fn key(self, key: &str) -> Self {
         let value = format!("Bearer {key}");
-        self.with("Authorization", &value)
+        self.with_header("Authorization", &value)
     }
 
     /// Sets the body.
--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -167,7 +167,7 @@
             let call =
                 Call::new("GET", HOST, &format!("{}look", version_route_prefix(version)), &id)
                     .key(API_KEY)
-                    .with("X-Deadline-Ms", "1000");
+                    .with_header("X-Deadline-Ms", "1000");
             let sent_at = self.recorder.now();
             let reply = tokio::time::timeout(REQUEST_DEADLINE, connection.call(&call)).await;
             let Ok(Ok(Some(reply))) = reply else { continue };
@@ -195,13 +195,13 @@
     let method = if kind == RequestKind::Read { "GET" } else { "POST" };
     let call = Call::new(method, HOST, &format!("{}a", kind.prefix()), id)
         .key(API_KEY)
-        .with("X-Deadline-Ms", &REQUEST_DEADLINE.as_millis().to_string());
+        .with_header("X-Deadline-Ms", &REQUEST_DEADLINE.as_millis().to_string());
     if !kind.is_stream() {
         return call;
     }
-    call.with("X-Model", "m")
-        .with("X-Token-Usage", "1000,50")
-        .with(
+    call.with_header("X-Model", "m")
+        .with_header("X-Token-Usage", "1000,50")
+        .with_header(
             "X-Prompt-Prefix",
             &format!("a:100,{:x}:800,{:x}:100", chat_number + 16, chat_number + 4_096),
         )
