--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -26,7 +26,7 @@
 
 /// Returns a request with a key and a deadline.
 pub fn request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(API_KEY).with_header("X-Deadline-Ms", "6000")
+    Call::new(method, HOST, target, id).with_api_key(API_KEY).with_header("X-Deadline-Ms", "6000")
 }
 
 /// Returns a request whose prompt shares a part with others of the same chat.
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -81,16 +81,16 @@
     let address = fleet.routers[0].callers_address();
     let cases = [
         (request("GET", "/elsewhere/a", "1"), 404),
-        (Call::new("GET", "other.example", "/read/a", "2").key(API_KEY), 404),
+        (Call::new("GET", "other.example", "/read/a", "2").with_api_key(API_KEY), 404),
         (Call::new("GET", HOST, "/read/a", "3"), 401),
-        (Call::new("GET", HOST, "/read/a", "4").key("unknown"), 401),
+        (Call::new("GET", HOST, "/read/a", "4").with_api_key("unknown"), 401),
         (request("POST", "/write/a", "5").with_header("Content-Length", "2097152"), 413),
         (request("GET", "/read/a", "6").with_header("X-Request-Id", "7"), 400),
         (request("GET", "/read/a", "8").with_header("Host", "other.example"), 400),
         (request("GET", "/read/a", "9").with_header("X-Deadline-Ms", "7000"), 400),
         (
             Call::new("GET", HOST, "/read/a", "10")
-                .key(API_KEY)
+                .with_api_key(API_KEY)
                 .with_header("X-Deadline-Ms", "soon"),
             400,
         ),
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -15,7 +15,7 @@
 
 /// Returns a request whose caller waits for less than a stop lasts.
 fn short(id: &str) -> Call {
-    Call::new("GET", HOST, "/read/a", id).key(API_KEY).with_header("X-Deadline-Ms", "1500")
+    Call::new("GET", HOST, "/read/a", id).with_api_key(API_KEY).with_header("X-Deadline-Ms", "1500")
 }
 
 /// Guards against answers that a planned stop cuts, and callers that are closed unanswered.
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -126,7 +126,7 @@
 
 /// Builds a request with a deadline of one minute.
 fn build_request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(API_KEY).with_header("X-Deadline-Ms", "60000")
+    Call::new(method, HOST, target, id).with_api_key(API_KEY).with_header("X-Deadline-Ms", "60000")
 }
 
 /// Builds a streaming request of a chat. Its prompt shares one part with all other chats and has
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -72,7 +72,7 @@
 async fn send_turn(router: &Router, chat: u32, turn: u32) -> Result<(), Box<dyn Error>> {
     let prefix = format!("a:400,{:x}:1200,{:x}:60", 0x100 + chat, 0x10_000 + chat * TURNS + turn);
     let request = Call::new("POST", HOST, "/gloss/verse", &format!("{chat}-{turn}"))
-        .key(API_KEY)
+        .with_api_key(API_KEY)
         .with_header("X-Model", "m")
         .with_header("X-Token-Usage", "1660,84")
         .with_header("X-Prompt-Prefix", &prefix)
--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -41,7 +41,7 @@
     }
 
     /// Adds a key.
-    pub fn key(self, key: &str) -> Self {
+    pub fn with_api_key(self, key: &str) -> Self {
         let value = format!("Bearer {key}");
         self.with_header("Authorization", &value)
     }
--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -166,7 +166,7 @@
             let id = format!("l{}n{}", self.number, self.request_count);
             let call =
                 Call::new("GET", HOST, &format!("{}look", version_route_prefix(version)), &id)
-                    .key(API_KEY)
+                    .with_api_key(API_KEY)
                     .with_header("X-Deadline-Ms", "1000");
             let sent_at = self.recorder.now();
             let reply = tokio::time::timeout(REQUEST_DEADLINE, connection.call(&call)).await;
@@ -194,7 +194,7 @@
 fn build_call(kind: RequestKind, id: &str, chat_number: u32) -> Call {
     let method = if kind == RequestKind::Read { "GET" } else { "POST" };
     let call = Call::new(method, HOST, &format!("{}a", kind.prefix()), id)
-        .key(API_KEY)
+        .with_api_key(API_KEY)
         .with_header("X-Deadline-Ms", &REQUEST_DEADLINE.as_millis().to_string());
     if !kind.is_stream() {
         return call;
@@ -253,7 +253,7 @@
             &format!("{}last", version_route_prefix(newest_version)),
             "newest",
         )
-        .key(API_KEY);
+        .with_api_key(API_KEY);
         let reply = crate::caller::call(router.process.callers_address(), &call).await;
         if !reply.is_ok_and(|reply| reply.status() == 200) {
             let details = format!(
