--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -153,7 +153,7 @@
     let fleet = fleet(1).await;
     services(&fleet, Script::rejected);
     let body = "x".repeat(400_000);
-    let reply = answered(&fleet, request("POST", "/write/a", "long").body(&body)).await;
+    let reply = answered(&fleet, request("POST", "/write/a", "long").with_body(&body)).await;
     assert_eq!(reply.status(), 503);
     let arrivals: usize =
         fleet.services.iter().map(|service| service.received_requests().len()).sum();
@@ -284,7 +284,7 @@
     let body = "x".repeat(700_000);
     for turn in 0..4 {
         let id = format!("early{turn}");
-        let reply = answered(&fleet, request("POST", "/write/a", &id).body(&body)).await;
+        let reply = answered(&fleet, request("POST", "/write/a", &id).with_body(&body)).await;
         assert_eq!(reply.status(), 413);
     }
     let received: Vec<_> =
--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -35,5 +35,5 @@
         .with_header("X-Model", "m")
         .with_header("X-Token-Usage", "1000,50")
         .with_header("X-Prompt-Prefix", &format!("a:100,{chat:x}:800,{id}:100"))
-        .body("Which verse is older?")
+        .with_body("Which verse is older?")
 }
--- a/teaselworks/tests/golden.rs
+++ b/teaselworks/tests/golden.rs
@@ -105,7 +105,7 @@
 
     let mut session = Session::new("plain", "A plain call, and what may not pass.", &fleet);
     session.send(request("GET", "/read/a?b=c", "1")).await;
-    session.send(request("POST", "/write/a", "2").body("a tag")).await;
+    session.send(request("POST", "/write/a", "2").with_body("a tag")).await;
     session.send(Call::new("GET", HOST, "/read/a", "3")).await;
     session.send(request("GET", "/elsewhere/a", "4")).await;
     differences.extend(session.check());
@@ -136,11 +136,11 @@
     for service in &fleet.services {
         service.set_behaviour(Script::rejected);
     }
-    session.send(request("POST", "/write/a", "7").body("a tag")).await;
+    session.send(request("POST", "/write/a", "7").with_body("a tag")).await;
     for service in &fleet.services {
         service.set_behaviour(|_| Script::from_steps(vec![Step::Close]));
     }
-    session.send(request("POST", "/write/a", "8").body("a tag")).await;
+    session.send(request("POST", "/write/a", "8").with_body("a tag")).await;
     differences.extend(session.check());
 
     assert!(differences.is_empty(), "sessions differ:\n{}", differences.join("\n"));
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -22,7 +22,7 @@
         .with_header("Kv-Fetch", "10.0.0.1:80")
         .with_header("Connection", "X-Hop")
         .with_header("X-Hop", "dropped")
-        .body("dialect: dolenjsko");
+        .with_body("dialect: dolenjsko");
     let reply = call(fleet.routers[0].callers_address(), &sent).await.unwrap();
     assert_eq!((reply.status(), reply.text().as_str()), (200, "a verse"));
     assert_eq!(reply.head.header("x-server-stamp"), Some("stamp-0a1b"));
@@ -67,7 +67,7 @@
 async fn a_long_body_is_sent_on_whole() {
     let fleet = fleet(1).await;
     let body = "a verse and another ".repeat(30_000);
-    let sent = request("POST", "/write/a", "long").body(&body);
+    let sent = request("POST", "/write/a", "long").with_body(&body);
     assert_eq!(call(fleet.routers[0].callers_address(), &sent).await.unwrap().status(), 200);
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -135,7 +135,7 @@
     build_request("POST", "/chat/a", id)
         .with_header("X-Token-Usage", "1000,1000")
         .with_header("X-Prompt-Prefix", &format!("a:100,{id}:800,{id}1:100"))
-        .body("Which verse is older?")
+        .with_body("Which verse is older?")
 }
 
 /// Prints the average processor time of `count` operations that took `time` together.
--- a/teaselworks_standin/src/bin/demo.rs
+++ b/teaselworks_standin/src/bin/demo.rs
@@ -77,7 +77,7 @@
         .with_header("X-Token-Usage", "1660,84")
         .with_header("X-Prompt-Prefix", &prefix)
         .with_header("X-Deadline-Ms", "8000")
-        .body("Which verse is older?");
+        .with_body("Which verse is older?");
     let reply = call(router.callers_address(), &request).await?;
     let expected: Vec<u32> = (1..=EVENTS).collect();
     if reply.status() != 200 || !reply.body.is_whole || reply.events() != expected {
--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sets the body.
-    pub fn body(mut self, body: &str) -> Self {
+    pub fn with_body(mut self, body: &str) -> Self {
         self.body = body.into();
         self
     }
--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -205,7 +205,7 @@
             "X-Prompt-Prefix",
             &format!("a:100,{:x}:800,{:x}:100", chat_number + 16, chat_number + 4_096),
         )
-        .body("Which verse is older?")
+        .with_body("Which verse is older?")
 }
 
 /// Returns whether the headers of a reply, and the events of a stream, name the request.
