--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -57,7 +57,7 @@
     for chunk in ["3\r\nabc\r\n", "4;x=y\r\ndefg\r\n", "0\r\n\r\n"] {
         connection.write(chunk.as_bytes()).await.unwrap();
     }
-    assert_eq!(connection.reply().await.unwrap().unwrap().status(), 200);
+    assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), 200);
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
     assert_eq!(received[0].body.bytes, b"abcdefg");
@@ -123,7 +123,7 @@
              Authorization: Bearer {API_KEY}\r\n{framing}"
         );
         connection.write(head.as_bytes()).await.unwrap();
-        while let Ok(Some(reply)) = connection.reply().await {
+        while let Ok(Some(reply)) = connection.read_reply().await {
             assert!(reply.status() >= 200, "{number}");
         }
     }
@@ -143,7 +143,7 @@
     for (bytes, status) in [("no http at all\r\n\r\n", 400), (large.as_str(), 431)] {
         let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
         connection.write(bytes.as_bytes()).await.unwrap();
-        assert_eq!(connection.reply().await.unwrap().unwrap().status(), status);
+        assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), status);
     }
 }
 
@@ -255,10 +255,10 @@
     }
     let mut late = Connection::open(router.callers_address()).await.unwrap();
     late.send(&request("GET", "/read/a", "late")).await.unwrap();
-    let waiting = tokio::time::timeout(Duration::from_millis(300), late.reply()).await;
+    let waiting = tokio::time::timeout(Duration::from_millis(300), late.read_reply()).await;
     assert!(waiting.is_err(), "{waiting:?}");
     drop(open.pop());
-    assert_eq!(late.reply().await.unwrap().unwrap().status(), 200);
+    assert_eq!(late.read_reply().await.unwrap().unwrap().status(), 200);
 }
 
 /// Guards against requests that are read after their callers have left, since idle connections of
@@ -289,12 +289,12 @@
     let in_third = bytes.len() - 20;
     connection.write(&bytes[..in_third]).await.unwrap();
     for id in ["1", "2"] {
-        let reply = connection.reply().await.unwrap().unwrap();
+        let reply = connection.read_reply().await.unwrap().unwrap();
         assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some(id)));
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     connection.write(&bytes[in_third..]).await.unwrap();
-    let reply = connection.reply().await.unwrap().unwrap();
+    let reply = connection.read_reply().await.unwrap().unwrap();
     assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some("3")));
 }
 
@@ -311,10 +311,10 @@
     );
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     connection.write(head.as_bytes()).await.unwrap();
-    assert_eq!(connection.reply().await.unwrap().unwrap().status(), 401);
+    assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), 401);
     // The router may have closed the connection.
     let _ = connection.write(&smuggled).await;
-    let _ = connection.reply().await;
+    let _ = connection.read_reply().await;
     assert_eq!(
         fleet.services.iter().map(|service| service.run_count("smuggled")).sum::<usize>(),
         0
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -142,7 +142,7 @@
     connection.send(&request("GET", "/read/a", "1")).await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     proxy.set_frozen(false);
-    assert_eq!(connection.reply().await.unwrap().unwrap().status(), 200);
+    assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), 200);
 }
 
 #[tokio::test]
--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -131,7 +131,7 @@
     }
 
     /// Reads an answer; `None` where the connection is closed.
-    pub async fn reply(&mut self) -> io::Result<Option<Reply>> {
+    pub async fn read_reply(&mut self) -> io::Result<Option<Reply>> {
         let Some(head) = self.head().await? else { return Ok(None) };
         let body = tokio::time::timeout(ANSWER_TIMEOUT, self.messages.body(&head)).await;
         let body = body.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
@@ -141,7 +141,7 @@
     /// Sends a request and reads its answer.
     pub async fn call(&mut self, call: &Call) -> io::Result<Option<Reply>> {
         self.send(call).await?;
-        self.reply().await
+        self.read_reply().await
     }
 }
 
