--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -305,7 +305,7 @@
     });
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     connection.send(&chat("/chat/a", "b7", 1).with_header("X-Deadline-Ms", "1500")).await.unwrap();
-    assert!(connection.head().await.unwrap().is_some());
+    assert!(connection.read_head().await.unwrap().is_some());
 }
 
 /// Guards against a stream that breaks off, between events or inside one, and looks whole.
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -159,8 +159,8 @@
     slow.write(b"GET /read/a HT").await.unwrap();
     let mut idle = Connection::open(address).await.unwrap();
     assert_eq!(idle.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
-    assert!(!matches!(slow.head().await, Ok(Some(_))));
-    assert!(!matches!(idle.head().await, Ok(Some(_))));
+    assert!(!matches!(slow.read_head().await, Ok(Some(_))));
+    assert!(!matches!(idle.read_head().await, Ok(Some(_))));
 }
 
 /// Guards against an idle connection that is closed by the timeout of heads.
@@ -193,7 +193,7 @@
     let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
-    assert!(streaming.head().await.unwrap().is_some());
+    assert!(streaming.read_head().await.unwrap().is_some());
     let mut waiting = Connection::open(address).await.unwrap();
     waiting.send(&request("POST", "/write/a", "b2")).await.unwrap();
     let reached = || fleet.services.iter().any(|service| !service.received_requests().is_empty());
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -41,7 +41,7 @@
     let proxy = silent_engine(&fleet).await;
     let mut caller = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     caller.send(&chat("/chat/a", "c1", 1)).await.unwrap();
-    assert!(caller.head().await.unwrap().is_some());
+    assert!(caller.read_head().await.unwrap().is_some());
 
     restart_behind_the_cut(&fleet, &proxy).await;
     let since = Instant::now();
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -30,7 +30,7 @@
     let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
-    assert!(streaming.head().await.unwrap().is_some());
+    assert!(streaming.read_head().await.unwrap().is_some());
     let mut kept = Connection::open(address).await.unwrap();
     assert_eq!(kept.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
 
--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -86,7 +86,7 @@
     for number in 0..OPEN_STREAMS {
         let Ok(mut connection) = Connection::open(router.callers_address()).await else { break };
         connection.send(&chat_request(&format!("b{number:x}"))).await?;
-        let head = tokio::time::timeout(Duration::from_millis(500), connection.head()).await;
+        let head = tokio::time::timeout(Duration::from_millis(500), connection.read_head()).await;
         if !matches!(head, Ok(Ok(Some(_)))) {
             break;
         }
--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -124,7 +124,7 @@
     }
 
     /// Reads the head of an answer; `None` where the connection is closed.
-    pub async fn head(&mut self) -> io::Result<Option<Head>> {
+    pub async fn read_head(&mut self) -> io::Result<Option<Head>> {
         tokio::time::timeout(ANSWER_TIMEOUT, self.messages.head(false))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
@@ -132,7 +132,7 @@
 
     /// Reads an answer; `None` where the connection is closed.
     pub async fn read_reply(&mut self) -> io::Result<Option<Reply>> {
-        let Some(head) = self.head().await? else { return Ok(None) };
+        let Some(head) = self.read_head().await? else { return Ok(None) };
         let body = tokio::time::timeout(ANSWER_TIMEOUT, self.messages.body(&head)).await;
         let body = body.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
         Ok(Some(Reply { head, body }))
