--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -34,7 +34,7 @@
     assert_eq!(received.head.header("host"), Some(HOST));
     assert_eq!(received.head.header("x-note"), Some("kept"));
     assert_eq!(received.head.header("x-tenant"), Some(WORKSPACE));
-    assert_eq!(received.head.count("x-tenant"), 1);
+    assert_eq!(received.head.header_count("x-tenant"), 1);
     for dropped in ["authorization", "x-cache-hold", "kv-from", "kv-fetch", "x-hop"] {
         assert_eq!(received.head.header(dropped), None, "{dropped}");
     }
--- a/teaselworks_standin/src/message.rs
+++ b/teaselworks_standin/src/message.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the number of values of a header.
-    pub fn count(&self, name: &str) -> usize {
+    pub fn header_count(&self, name: &str) -> usize {
         self.headers.iter().filter(|(known, _)| known == name).count()
     }
 
