--- a/teaselworks_standin/src/lib.rs
+++ b/teaselworks_standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the platform, engines and services, a fault-injecting proxy, and a fleet of
-//! real router processes, for tests and the demonstration.
+//! Test doubles for the platform's store, model engines and services, a fault-injecting TCP proxy,
+//! and fleets of real router processes. Used by the integration tests, the soak test and the demo.
 
 pub mod caller;
 pub mod configuration;
--- a/teaselworks_standin/src/store/mod.rs
+++ b/teaselworks_standin/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's store, in memory, with faults.
+//! In-memory HTTP server with the API of the platform's key-value store, and faults that tests can
+//! switch on.
 
 mod state;
 
@@ -22,31 +23,34 @@
 use self::state::State;
 use crate::port::PortGuard;
 
-/// Items on one page of a range.
+/// Maximum number of items on one page of a `/kv-range` response.
 const PAGE_ITEMS: usize = 50;
-/// Pause between looks for leases that have ended.
-const LEASE_LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks for expired leases.
+const LEASE_EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the store answers.
+/// How the store responds to calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// As it should.
+    /// Handles every call.
     #[default]
     Serving,
-    /// 503 to every call.
+    /// Responds to every call with 503.
     Unavailable,
-    /// Not at all.
+    /// Accepts calls and never responds.
     Silent,
 }
 
+/// State shared by the tasks that serve calls and expire leases.
 struct Shared {
     state: Mutex<State>,
+    /// Current revision; a change wakes the watches that wait for events.
     revision: watch::Sender<u64>,
     mode: watch::Sender<Mode>,
+    /// Method and URI of every call.
     calls: Mutex<Vec<String>>,
 }
 
-/// A running store.
+/// A running store, which stops when it is dropped.
 pub struct Store {
     guard: PortGuard,
     shared: Arc<Shared>,
@@ -54,7 +58,7 @@
 }
 
 impl Store {
-    /// Starts an empty store.
+    /// Starts an empty store on a free loopback port.
     pub fn start() -> io::Result<Self> {
         let guard = PortGuard::reserve()?;
         let listener = guard.listen()?;
@@ -74,7 +78,7 @@
                 };
                 let Ok((stream, _)) = accepted else { continue };
                 let shared = accepting.clone();
-                let service = service_fn(move |request| answer(shared.clone(), request));
+                let service = service_fn(move |request| respond(shared.clone(), request));
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 let stopped = stopped.clone();
@@ -89,61 +93,64 @@
         let (expiring, stopped) = (shared.clone(), stop.clone());
         tokio::spawn(async move {
             while !stopped.is_cancelled() {
-                tokio::time::sleep(LEASE_LOOK).await;
-                expiring.change(State::expire);
+                tokio::time::sleep(LEASE_EXPIRY_INTERVAL).await;
+                expiring.change(State::expire_leases);
             }
         });
         Ok(Self { guard, shared, stop })
     }
 
-    /// Returns the address.
+    /// Returns the address on which the store listens.
     pub fn address(&self) -> SocketAddr {
         self.guard.address()
     }
 
-    /// Changes how calls are answered, those that wait too.
+    /// Changes how the store responds to new calls. A call that is in progress gets no response in
+    /// [`Mode::Silent`] and a 503 in the other modes.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.mode.send_replace(mode);
     }
 
-    /// Writes a key as the operator and the replicas do; returns the revision.
+    /// Sets a key without a lease, its value encoded in base64 as the operator and the replicas write
+    /// it. Returns the new revision.
     pub fn put(&self, key: &str, value: &[u8]) -> u64 {
         self.shared.change(|state| state.put(key, value, 0));
         self.revision()
     }
 
-    /// Writes a key whose value is handed on as it is, base64 text or not.
+    /// Sets a key to a value that clients get unchanged, even when it is not base64 text. Returns the
+    /// new revision.
     pub fn put_raw(&self, key: &str, value: Value) -> u64 {
         self.shared.change(|state| state.put_raw(key, value, 0));
         self.revision()
     }
 
-    /// Writes a key with a JSON value.
+    /// Sets a key to the text of a JSON value. Returns the new revision.
     pub fn put_json(&self, key: &str, value: &Value) -> u64 {
         self.put(key, value.to_string().as_bytes())
     }
 
-    /// Removes a key.
+    /// Removes a key; does nothing if the key does not exist.
     pub fn remove(&self, key: &str) {
         self.shared.change(|state| state.remove(key));
     }
 
-    /// Forgets the history, so that watches that stand behind learn that it is gone.
+    /// Discards the history, so that a watch that starts before the current revision gets a 410.
     pub fn compact(&self) {
         self.shared.lock().compact();
     }
 
-    /// Returns the revision.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.shared.lock().revision()
     }
 
-    /// Returns the keys that begin with a prefix.
+    /// Returns the keys that start with `prefix`, in order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.shared.lock().keys(prefix)
     }
 
-    /// Returns the calls so far, by method and path.
+    /// Returns all calls received so far, each as method and URI.
     pub fn calls(&self) -> Vec<String> {
         self.shared.calls.lock().expect("locks are never poisoned").clone()
     }
@@ -160,6 +167,7 @@
         self.state.lock().expect("locks are never poisoned")
     }
 
+    /// Applies a change to the state and wakes the waiting watches if the revision is new.
     fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.lock();
         let result = change(&mut state);
@@ -170,108 +178,119 @@
     }
 }
 
-type Answer = Response<Full<Bytes>>;
+type StoreResponse = Response<Full<Bytes>>;
 
-async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Answer, Infallible> {
+/// Records a call and responds to it as [`Store::set_mode`] describes.
+async fn respond(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<StoreResponse, Infallible> {
     let call = format!("{} {}", request.method(), request.uri());
     shared.calls.lock().expect("locks are never poisoned").push(call);
     let mut mode = shared.mode.subscribe();
-    let begun = *mode.borrow_and_update();
-    let answered = async {
-        match begun {
-            Mode::Serving => handle(&shared, request).await,
-            Mode::Unavailable => json_answer(503, &json!({})),
+    let initial_mode = *mode.borrow_and_update();
+    let respond_in_mode = async {
+        match initial_mode {
+            Mode::Serving => handle_call(&shared, request).await,
+            Mode::Unavailable => json_response(503, &json!({})),
             Mode::Silent => std::future::pending().await,
         }
     };
     tokio::select! {
-        answer = answered => Ok(answer),
+        response = respond_in_mode => Ok(response),
         _ = mode.changed() => {
-            let changed = *mode.borrow();
-            if changed == Mode::Silent {
+            let new_mode = *mode.borrow();
+            if new_mode == Mode::Silent {
                 std::future::pending::<()>().await;
             }
-            Ok(json_answer(503, &json!({})))
+            Ok(json_response(503, &json!({})))
         }
     }
 }
 
-async fn handle(shared: &Shared, request: Request<Incoming>) -> Answer {
-    let query = Query::of(request.uri().query().unwrap_or_default());
+/// Handles a call in [`Mode::Serving`].
+async fn handle_call(shared: &Shared, request: Request<Incoming>) -> StoreResponse {
+    let query = Query::parse(request.uri().query().unwrap_or_default());
     let (method, path) = (request.method().clone(), request.uri().path().to_owned());
     let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
     if let Some(id) = path.strip_prefix("/kv-keep/") {
-        let ttl_ms = shared.lock().renew(id.parse().unwrap_or_default());
-        return ttl_ms.map_or_else(not_found, |ttl| json_answer(200, &json!({ "ttl_ms": ttl })));
+        let ttl_ms = shared.lock().renew_lease(id.parse().unwrap_or_default());
+        return ttl_ms.map_or_else(not_found, |ttl| json_response(200, &json!({ "ttl_ms": ttl })));
     }
     if let Some(id) = path.strip_prefix("/kv-lease-end/") {
-        shared.change(|state| state.end(id.parse().unwrap_or_default()));
-        return json_answer(200, &json!({}));
+        shared.change(|state| state.end_lease(id.parse().unwrap_or_default()));
+        return json_response(200, &json!({}));
     }
     match (method, path.as_str()) {
         (Method::GET, "/kv-range") => {
             let range = shared.lock().range(query.get("prefix"), query.get("after"), PAGE_ITEMS);
-            json_answer(200, &range)
+            json_response(200, &range)
         }
         (Method::GET, "/kv-watch") => watch_changes(shared, &query).await,
         (Method::POST, "/kv-lease") => {
             let ttl_ms = body["ttl_ms"].as_u64().unwrap_or_default();
-            let lease = shared.lock().lease(ttl_ms);
-            json_answer(200, &json!({ "lease": lease, "ttl_ms": ttl_ms }))
+            let lease = shared.lock().grant_lease(ttl_ms);
+            json_response(200, &json!({ "lease": lease, "ttl_ms": ttl_ms }))
         }
         (Method::POST, "/kv-txn") => shared
             .change(|state| state.transact(&body))
-            .map_or_else(not_found, |revision| json_answer(200, &json!({ "revision": revision }))),
+            .map_or_else(not_found, |rev| json_response(200, &json!({ "revision": rev }))),
         _ => not_found(),
     }
 }
 
-async fn watch_changes(shared: &Shared, query: &Query) -> Answer {
-    let after = query.number("after");
-    let wait = Duration::from_millis(query.number("wait_ms"));
+/// Responds to a watch as soon as there are events, without events after `wait_ms`, or with 410 if
+/// the history no longer contains all of them.
+async fn watch_changes(shared: &Shared, query: &Query) -> StoreResponse {
+    let after = query.get_u64("after");
+    let wait = Duration::from_millis(query.get_u64("wait_ms"));
     let mut revision = shared.revision.subscribe();
-    let end = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         revision.borrow_and_update();
-        let events = shared.lock().events(query.get("prefix"), after);
+        let events = shared.lock().events_after(query.get("prefix"), after);
         let at = shared.lock().revision();
         match events {
-            None => return json_answer(410, &json!({})),
+            None => return json_response(410, &json!({})),
             Some(events) if !events.is_empty() => {
-                return json_answer(200, &json!({ "events": events, "at": at }));
+                return json_response(200, &json!({ "events": events, "at": at }));
             }
             Some(_) => {}
         }
-        if tokio::time::timeout_at(end, revision.changed()).await.is_err() {
-            return json_answer(200, &json!({ "events": [], "at": at }));
+        if tokio::time::timeout_at(deadline, revision.changed()).await.is_err() {
+            return json_response(200, &json!({ "events": [], "at": at }));
         }
     }
 }
 
-fn not_found() -> Answer {
-    json_answer(404, &json!({}))
+fn not_found() -> StoreResponse {
+    json_response(404, &json!({}))
 }
 
-fn json_answer(status: u16, body: &Value) -> Answer {
-    let mut answer = Response::new(Full::new(Bytes::from(body.to_string())));
-    *answer.status_mut() = StatusCode::from_u16(status).expect("stand-ins use valid statuses");
-    answer
+fn json_response(status: u16, body: &Value) -> StoreResponse {
+    let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
+    *response.status_mut() =
+        StatusCode::from_u16(status).expect("the status is between 100 and 999");
+    response
 }
 
+/// Parameters of a query string, in which only `%2F` is percent-decoded.
 struct Query(Vec<(String, String)>);
 
 impl Query {
-    fn of(text: &str) -> Self {
+    fn parse(text: &str) -> Self {
         let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
         Self(pairs.map(|(name, value)| (name.into(), value.replace("%2F", "/"))).collect())
     }
 
+    /// Returns a parameter, or an empty string if it is missing.
     fn get(&self, name: &str) -> &str {
         self.0.iter().find(|(known, _)| known == name).map_or("", |(_, value)| value)
     }
 
-    fn number(&self, name: &str) -> u64 {
+    /// Returns a numeric parameter, or 0 if it is missing or not a number.
+    fn get_u64(&self, name: &str) -> u64 {
         self.get(name).parse().unwrap_or_default()
     }
 }
