--- a/teaselworks_standin/src/engine.rs
+++ b/teaselworks_standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that keeps the parts of prompts that it has read.
+//! A model engine that caches the prompts that it has processed and counts cache hits in tokens.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -6,42 +6,48 @@
 
 use crate::upstream::{ReceivedRequest, Script};
 
-/// Tokens of prompts that an engine was sent.
+/// Number of prompt tokens that an engine received, by whether they were cached.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Tokens {
-    /// Tokens that were read.
+pub struct PromptTokens {
+    /// Tokens that the engine had to process, since they were not cached.
     pub read: u64,
-    /// Tokens that were found kept.
+    /// Tokens that the engine reused from its cache.
     pub reused: u64,
 }
 
-/// Parts that one engine keeps.
+/// Prompt cache of one engine, which never evicts anything. Clones share the same cache.
 #[derive(Clone, Debug, Default)]
 pub struct PromptCache {
     state: Arc<Mutex<State>>,
 }
 
+/// Contents of a [`PromptCache`].
 #[derive(Debug, Default)]
 struct State {
-    parts: HashSet<String>,
-    tokens: Tokens,
+    /// Identifiers of all prompt parts received so far.
+    part_ids: HashSet<String>,
+    tokens: PromptTokens,
 }
 
 impl PromptCache {
-    /// Returns the tokens so far.
-    pub fn tokens(&self) -> Tokens {
+    /// Returns the token counts of all prompts so far.
+    pub fn tokens(&self) -> PromptTokens {
         self.lock().tokens
     }
 
-    /// Reads the prompt of a request: a part is found where all parts before it are, too.
-    pub fn read(&self, prefix: &str) {
+    /// Counts the tokens of a prompt as reused or read, and adds its parts to the cache. A part is
+    /// reused only if it and all parts before it are cached.
+    ///
+    /// `prompt_prefix` is the value of an `x-prompt-prefix` header: parts of the form `id:tokens`,
+    /// separated by commas. Malformed parts are skipped.
+    pub fn process_prompt(&self, prompt_prefix: &str) {
         let mut state = self.lock();
-        let mut is_kept = true;
-        for part in prefix.split(',') {
+        let mut is_cached = true;
+        for part in prompt_prefix.split(',') {
             let Some((id, tokens)) = part.split_once(':') else { continue };
             let tokens: u64 = tokens.trim().parse().unwrap_or_default();
-            is_kept = !state.parts.insert(id.trim().to_owned()) && is_kept;
-            if is_kept {
+            is_cached = !state.part_ids.insert(id.trim().to_owned()) && is_cached;
+            if is_cached {
                 state.tokens.reused += tokens;
             } else {
                 state.tokens.read += tokens;
@@ -54,15 +60,17 @@
     }
 }
 
-/// Returns the behaviour of an engine that answers each request with `events` events.
+/// Returns the behaviour of an engine that streams the events 1 to `events` for each request, with
+/// a pause of `gap` before each event. A request with a `last-event-id` header gets only the events
+/// after that one.
 pub fn engine_behaviour(
     cache: PromptCache,
     events: u32,
     gap: Duration,
 ) -> impl Fn(&ReceivedRequest) -> Script {
     move |received| {
-        cache.read(received.head.header("x-prompt-prefix").unwrap_or_default());
-        let last = received.head.header("last-event-id").and_then(|id| id.parse().ok());
-        Script::stream(received, last.map_or(1, |id: u32| id + 1)..events + 1, gap, true)
+        cache.process_prompt(received.head.header("x-prompt-prefix").unwrap_or_default());
+        let last_event_id = received.head.header("last-event-id").and_then(|id| id.parse().ok());
+        Script::stream(received, last_event_id.map_or(1, |id: u32| id + 1)..events + 1, gap, true)
     }
 }
