--- a/teaselworks_standin/src/proxy.rs
+++ b/teaselworks_standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! TCP proxy on loopback whose faults are switched while connections run.
+//! TCP proxy on loopback whose faults can be changed while connections are open.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,41 +13,45 @@
 
 use crate::port::PortGuard;
 
-/// Most bytes passed on at once.
+/// Maximum number of bytes that are read and passed on at once.
 const CHUNK_SIZE_BYTES: usize = 16 << 10;
 
-/// Faults of one direction, all off by default.
+/// Faults in one direction, all off by default.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectionFaults {
-    /// Bytes wait and nothing is passed on, while connections stay open.
+    /// Whether data is held back until this is unset, while connections stay open.
     pub is_frozen: bool,
-    /// Time that each piece is held back.
+    /// Time by which each chunk is delayed.
     pub delay: Duration,
-    /// Highest rate in bytes a second.
+    /// Maximum rate in bytes per second, for each connection.
     pub bytes_per_s: Option<u64>,
-    /// Bytes after which a connection is cut, counted for each connection.
+    /// Number of bytes after which a connection is closed, counted for each connection.
     pub cut_after_bytes: Option<u64>,
 }
 
 /// Faults of a proxy, all off by default.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyFaults {
-    /// New connections are refused.
+    /// Whether new connections are refused.
     pub is_refusing: bool,
-    /// From the connecting side to the target.
+    /// Faults from the client to the target.
     pub forward: DirectionFaults,
-    /// From the target to the connecting side.
+    /// Faults from the target to the client.
     pub backward: DirectionFaults,
 }
 
+/// Direction of data through the proxy.
 #[derive(Clone, Copy)]
 enum Direction {
+    /// From the client to the target.
     Forward,
+    /// From the target to the client.
     Backward,
 }
 
 impl Direction {
-    fn of(self, faults: &ProxyFaults) -> &DirectionFaults {
+    /// Returns the faults in this direction.
+    fn faults_in(self, faults: &ProxyFaults) -> &DirectionFaults {
         match self {
             Direction::Forward => &faults.forward,
             Direction::Backward => &faults.backward,
@@ -55,6 +59,7 @@
     }
 }
 
+/// Totals over all connections of a proxy.
 #[derive(Default)]
 struct Counters {
     connections: AtomicU64,
@@ -62,32 +67,34 @@
     backward_bytes: AtomicU64,
 }
 
-/// Running proxy in front of one address.
+/// A proxy in front of one address, which stops and closes its connections when it is dropped.
 pub struct Proxy {
     address: SocketAddr,
     faults: watch::Sender<ProxyFaults>,
-    cuts: watch::Sender<CancellationToken>,
-    stalls: watch::Sender<CancellationToken>,
+    /// Token that closes the connections that are open now; replaced by each cut.
+    cut_token: watch::Sender<CancellationToken>,
+    /// Token that stalls the connections that are open now; replaced by each stall.
+    stall_token: watch::Sender<CancellationToken>,
     counters: Arc<Counters>,
     stop: CancellationToken,
 }
 
 impl Proxy {
-    /// Starts a proxy that passes everything on to `target`.
+    /// Starts a proxy on a free loopback port that connects to `target` for each client.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
         let guard = PortGuard::reserve()?;
         let address = guard.address();
         let listener = guard.listen()?;
-        let (faults, fault_reader) = watch::channel(ProxyFaults::default());
-        let (cuts, cut_reader) = watch::channel(CancellationToken::new());
-        let (stalls, stall_reader) = watch::channel(CancellationToken::new());
+        let (faults, fault_receiver) = watch::channel(ProxyFaults::default());
+        let (cut_token, cut_receiver) = watch::channel(CancellationToken::new());
+        let (stall_token, stall_receiver) = watch::channel(CancellationToken::new());
         let counters = Arc::new(Counters::default());
         let stop = CancellationToken::new();
         let relay = Relay {
             target,
-            faults: fault_reader,
-            cuts: cut_reader,
-            stalls: stall_reader,
+            faults: fault_receiver,
+            cut_token: cut_receiver,
+            stall_token: stall_receiver,
             counters: counters.clone(),
         };
         let stopped = stop.clone();
@@ -97,10 +104,10 @@
                 () = stopped.cancelled() => {}
             }
         });
-        Ok(Self { address, faults, cuts, stalls, counters, stop })
+        Ok(Self { address, faults, cut_token, stall_token, counters, stop })
     }
 
-    /// Returns the address to connect to.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -110,23 +117,24 @@
         self.faults.send_modify(change);
     }
 
-    /// Freezes both directions or lets them go on; new connections open but carry nothing.
-    pub fn set_frozen(&self, frozen: bool) {
+    /// Freezes or unfreezes both directions. While they are frozen, new connections are accepted
+    /// but carry no data.
+    pub fn set_frozen(&self, is_frozen: bool) {
         self.set_faults(|faults| {
-            faults.forward.is_frozen = frozen;
-            faults.backward.is_frozen = frozen;
+            faults.forward.is_frozen = is_frozen;
+            faults.backward.is_frozen = is_frozen;
         });
     }
 
-    /// Cuts every open connection.
+    /// Closes every open connection.
     pub fn cut(&self) {
-        self.cuts.send_replace(CancellationToken::new()).cancel();
+        self.cut_token.send_replace(CancellationToken::new()).cancel();
     }
 
-    /// Stalls every open connection: it stays open and carries nothing any more, as when a
-    /// middlebox has forgotten it; new connections work.
+    /// Stalls every open connection: it carries no more data but stays open until [`Proxy::cut`],
+    /// as when a middlebox has dropped its state. New connections work.
     pub fn stall(&self) {
-        self.stalls.send_replace(CancellationToken::new()).cancel();
+        self.stall_token.send_replace(CancellationToken::new()).cancel();
     }
 
     /// Returns the number of connections accepted so far.
@@ -152,24 +160,27 @@
     }
 }
 
+/// Accepts connections and copies data between clients and the target.
 #[derive(Clone)]
 struct Relay {
     target: SocketAddr,
     faults: watch::Receiver<ProxyFaults>,
-    cuts: watch::Receiver<CancellationToken>,
-    stalls: watch::Receiver<CancellationToken>,
+    cut_token: watch::Receiver<CancellationToken>,
+    stall_token: watch::Receiver<CancellationToken>,
     counters: Arc<Counters>,
 }
 
 impl Relay {
+    /// Accepts connections until the proxy is dropped; closes the listener while connections are
+    /// refused.
     async fn accept(mut self, guard: PortGuard, listener: TcpListener) {
         let mut listener = Some(listener);
         loop {
-            let refuse = self.faults.borrow_and_update().is_refusing;
-            if refuse {
+            let is_refusing = self.faults.borrow_and_update().is_refusing;
+            if is_refusing {
                 listener = None;
             } else if listener.is_none() {
-                listener = Some(guard.listen().expect("the port is kept"));
+                listener = Some(guard.listen().expect("the reserved port is free"));
             }
             let Some(open) = &listener else {
                 if self.faults.changed().await.is_err() {
@@ -188,34 +199,38 @@
         }
     }
 
-    async fn connect(self, near: TcpStream) {
-        let cut = self.cuts.borrow().clone();
-        let stalled = self.stalls.borrow().clone();
-        let relay = self.relay(near);
+    /// Relays one connection until it ends or is cut. A stalled connection stays open until it is
+    /// cut.
+    async fn connect(self, client: TcpStream) {
+        let cut = self.cut_token.borrow().clone();
+        let stalled = self.stall_token.borrow().clone();
+        let relay = self.relay(client);
         tokio::pin!(relay);
         tokio::select! {
             () = cut.cancelled() => return,
             () = stalled.cancelled() => {}
             () = &mut relay => return,
         }
-        // The relay is kept and not polled: its connections stay open.
+        // The relay is neither dropped nor polled here, so its connections stay open.
         cut.cancelled().await;
     }
 
-    async fn relay(&self, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_reader, near_writer) = near.into_split();
-        let (far_reader, far_writer) = far.into_split();
-        // An error in one direction ends both; a plain end of one direction is passed on alone,
-        // so that half-closed connections reach the target as such.
+    /// Connects to the target and copies data in both directions until both have ended.
+    async fn relay(&self, client: TcpStream) {
+        let Ok(target) = TcpStream::connect(self.target).await else { return };
+        let _ = (client.set_nodelay(true), target.set_nodelay(true));
+        let (client_reader, client_writer) = client.into_split();
+        let (target_reader, target_writer) = target.into_split();
+        // An error in one direction closes both. The end of one direction (a FIN) is passed on
+        // alone, so that half-closed connections reach the other side as such.
         let _ = tokio::try_join!(
-            self.copy(Direction::Forward, near_reader, far_writer),
-            self.copy(Direction::Backward, far_reader, near_writer),
+            self.copy_direction(Direction::Forward, client_reader, target_writer),
+            self.copy_direction(Direction::Backward, target_reader, client_writer),
         );
     }
 
-    async fn copy(
+    /// Copies one direction of a connection, with the faults that are active for each chunk.
+    async fn copy_direction(
         &self,
         direction: Direction,
         mut reader: impl AsyncReadExt + Unpin,
@@ -226,28 +241,31 @@
         let mut passed_bytes = 0;
         loop {
             let length = reader.read(&mut buffer).await?;
-            let thawed = faults.wait_for(|faults| !direction.of(faults).is_frozen).await;
-            let current = thawed.map(|faults| direction.of(&faults).clone()).unwrap_or_default();
-            tokio::time::sleep(current.delay).await;
+            let unfrozen = faults.wait_for(|faults| !direction.faults_in(faults).is_frozen).await;
+            let active_faults =
+                unfrozen.map(|faults| direction.faults_in(&faults).clone()).unwrap_or_default();
+            tokio::time::sleep(active_faults.delay).await;
             if length == 0 {
                 return writer.shutdown().await;
             }
-            if let Some(bytes_per_s) = current.bytes_per_s {
+            if let Some(bytes_per_s) = active_faults.bytes_per_s {
                 let seconds = length as f64 / bytes_per_s.max(1) as f64;
                 tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
             }
-            let left =
-                current.cut_after_bytes.map_or(u64::MAX, |most| most - passed_bytes.min(most));
-            let passed = length.min(usize::try_from(left).unwrap_or(usize::MAX));
-            writer.write_all(&buffer[..passed]).await?;
-            passed_bytes += passed as u64;
-            self.count(direction, passed as u64);
-            if passed < length {
-                return Err(io::Error::other("cut on purpose"));
+            let remaining_bytes = active_faults
+                .cut_after_bytes
+                .map_or(u64::MAX, |limit| limit - passed_bytes.min(limit));
+            let passed_length = length.min(usize::try_from(remaining_bytes).unwrap_or(usize::MAX));
+            writer.write_all(&buffer[..passed_length]).await?;
+            passed_bytes += passed_length as u64;
+            self.count(direction, passed_length as u64);
+            if passed_length < length {
+                return Err(io::Error::other("fault limit cut_after_bytes reached"));
             }
         }
     }
 
+    /// Adds to the byte total of a direction.
     fn count(&self, direction: Direction, bytes: u64) {
         let counter = match direction {
             Direction::Forward => &self.counters.forward_bytes,
