--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A store, replicas and real router processes, together.
+//! A store, scripted replicas and real router processes that run together.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,34 +11,39 @@
 use crate::store::Store;
 use crate::upstream::{ReceivedRequest, Script, Upstream};
 
-/// Key of the operator's configuration.
-const CONFIGURATION: &str = "op/config";
-/// Longest wait for something that must happen; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Pause between looks for it.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Store key of the operator's configuration.
+const CONFIGURATION_KEY: &str = "op/config";
+/// Maximum time that [`wait_until`] waits; far above what any condition takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which [`wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running fleet.
+/// A running fleet of routers with its store and replicas.
 pub struct Fleet {
     /// The platform's store.
     pub store: Store,
-    /// Engines.
+    /// Replicas of the service [`CHAT_SERVICE`].
     pub engines: Vec<Upstream>,
-    /// Replicas of the plain service.
+    /// Replicas of the service [`ARCHIVE_SERVICE`].
     pub services: Vec<Upstream>,
-    /// Routers.
+    /// Router processes.
     pub routers: Vec<Router>,
-    /// The configuration that was written last.
+    /// Configuration that [`Fleet::publish_configuration`] writes to the store.
     pub configuration: TestConfiguration,
 }
 
 impl Fleet {
-    /// Starts a fleet whose replicas answer whole, and waits until its routers are ready.
+    /// Starts a fleet with the default configuration and bounds, and waits until its routers are
+    /// ready.
     pub async fn start(program: Program, routers: usize) -> io::Result<Self> {
         Self::start_with(program, routers, TestConfiguration::default(), &json!({})).await
     }
 
-    /// Starts a fleet with a configuration and bounds of its own.
+    /// Starts a fleet with two engines and two service replicas, and waits until its routers are
+    /// ready and registered in the store. The replicas send complete responses: the engines streams
+    /// of five events, the services a body.
+    ///
+    /// `bounds` is the section `bounds` of every router's settings.
     pub async fn start_with(
         program: Program,
         routers: usize,
@@ -49,11 +54,11 @@
         let stream = |received: &ReceivedRequest| {
             Script::stream(received, 1..6, Duration::from_millis(1), true)
         };
-        let whole = |received: &ReceivedRequest| Script::response(received, 200, "a verse");
+        let respond = |received: &ReceivedRequest| Script::response(received, 200, "a verse");
         let engines =
             vec![Upstream::start("engine-1", stream)?, Upstream::start("engine-2", stream)?];
         let services =
-            vec![Upstream::start("service-1", whole)?, Upstream::start("service-2", whole)?];
+            vec![Upstream::start("service-1", respond)?, Upstream::start("service-2", respond)?];
         let mut fleet = Self { store, engines, services, routers: Vec::new(), configuration };
         fleet.publish_configuration();
         for upstream in &fleet.engines {
@@ -71,44 +76,43 @@
         for router in &fleet.routers {
             router.wait_until_ready().await?;
         }
-        let names = routers;
-        wait_until("every router is registered", async || {
-            fleet.store.keys("routers/").len() == names
-        })
-        .await?;
+        let count = routers;
+        wait_until("all routers registered", async || fleet.store.keys("routers/").len() == count)
+            .await?;
         Ok(fleet)
     }
 
-    /// Writes the configuration.
+    /// Writes the configuration to the store.
     pub fn publish_configuration(&self) {
-        self.store.put_json(CONFIGURATION, &self.configuration.value);
+        self.store.put_json(CONFIGURATION_KEY, &self.configuration.value);
     }
 
-    /// Writes the entry of a replica.
+    /// Writes the entry of a replica to the store, with the address on which it listens.
     pub fn list(&self, upstream: &Upstream, service: &str, state: &str) {
         self.list_at(upstream, upstream.address(), service, state);
     }
 
-    /// Writes the entry of a replica that is reached through another address.
+    /// Writes the entry of a replica to the store, with another address, such as that of a proxy.
     pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, service: &str, state: &str) {
         let entry = upstream_entry(upstream, address, service, state);
         self.store.put_json(&format!("servers/{}", upstream.id), &entry);
     }
 
-    /// Removes the entry of a replica.
+    /// Removes the entry of a replica from the store.
     pub fn unlist(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 }
 
-/// Waits until something holds.
-pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
-    let end = tokio::time::Instant::now() + PATIENCE;
-    while tokio::time::Instant::now() < end {
-        if holds().await {
+/// Waits until a condition is met. Fails with its description, `condition`, after
+/// [`WAIT_TIMEOUT`].
+pub async fn wait_until(condition: &str, mut is_met: impl AsyncFnMut() -> bool) -> io::Result<()> {
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
+        if is_met().await {
             return Ok(());
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(io::Error::other(format!("never: {what}")))
+    Err(io::Error::other(format!("condition not met within {WAIT_TIMEOUT:?}: {condition}")))
 }
