--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller with raw connections.
+//! HTTP/1.1 client that controls every byte it sends, so that it can send malformed requests too.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use crate::message::{Head, MessageReader, ReadBody, Start};
+use crate::message::{Head, MessageReader, ReceivedBody, StartLine};
 
-/// Longest wait for an answer; far above what any request of a test takes.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a head or a body; far above what any request of a test takes.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request as it is written.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
     pub method: String,
-    /// Path with its query.
+    /// Request target: path and query.
     pub target: String,
-    /// Headers.
+    /// Headers in the order in which they are sent.
     pub headers: Vec<(String, String)>,
-    /// Body, with its length in the head.
+    /// Body; if it is not empty, a `Content-Length` header is sent with it.
     pub body: String,
 }
 
 impl Call {
-    /// Makes a request without a key.
+    /// Creates a request with a host and a request identifier, without an API key or a body.
     pub fn new(method: &str, host: &str, target: &str, id: &str) -> Self {
         let headers = [("Host", host), ("X-Request-Id", id)];
         let headers = headers.map(|(name, value)| (name.to_owned(), value.to_owned())).to_vec();
@@ -40,7 +40,7 @@
         self
     }
 
-    /// Adds a key.
+    /// Adds an API key as the bearer token.
     pub fn with_api_key(self, key: &str) -> Self {
         let value = format!("Bearer {key}");
         self.with_header("Authorization", &value)
@@ -52,7 +52,7 @@
         self
     }
 
-    /// Returns the request as it is sent.
+    /// Returns the bytes of the request on the wire.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
         for (name, value) in &self.headers {
@@ -67,30 +67,30 @@
     }
 }
 
-/// An answer.
+/// A response that was received.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// Head.
+    /// Head of the response.
     pub head: Head,
-    /// Body.
-    pub body: ReadBody,
+    /// Body of the response.
+    pub body: ReceivedBody,
 }
 
 impl Reply {
-    /// Returns the status.
+    /// Returns the status code, or 0 if the connection was closed without a response.
     pub fn status(&self) -> u16 {
-        match self.head.start {
-            Start::Answer(status) => status,
-            Start::Request(..) => 0,
+        match self.head.start_line {
+            StartLine::Response(status) => status,
+            StartLine::Request(..) => 0,
         }
     }
 
-    /// Returns the body as text.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body.bytes).into_owned()
     }
 
-    /// Returns the numbers of the events in the body.
+    /// Returns the identifiers of the server-sent events in the body that are numbers.
     pub fn events(&self) -> Vec<u32> {
         let text = self.text();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -98,14 +98,14 @@
     }
 }
 
-/// A connection of a caller.
+/// A client connection.
 pub struct Connection {
     messages: MessageReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a TCP connection.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -113,39 +113,42 @@
         Ok(Self { messages: MessageReader::new(reader), writer })
     }
 
-    /// Sends a request.
+    /// Sends a request without waiting for the response.
     pub async fn send(&mut self, call: &Call) -> io::Result<()> {
         self.write(&call.bytes()).await
     }
 
-    /// Sends bytes as they are.
+    /// Writes bytes to the connection as they are.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.writer.write_all(bytes).await
     }
 
-    /// Reads the head of an answer; `None` where the connection is closed.
+    /// Reads the head of a response; `None` if the connection is closed first. Fails with
+    /// [`io::ErrorKind::TimedOut`] after [`REPLY_TIMEOUT`].
     pub async fn read_head(&mut self) -> io::Result<Option<Head>> {
-        tokio::time::timeout(ANSWER_TIMEOUT, self.messages.head(false))
+        tokio::time::timeout(REPLY_TIMEOUT, self.messages.read_head(false))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
-    /// Reads an answer; `None` where the connection is closed.
+    /// Reads a response; `None` if the connection is closed before its head ends. Fails with
+    /// [`io::ErrorKind::TimedOut`] if its head or its body takes longer than [`REPLY_TIMEOUT`].
     pub async fn read_reply(&mut self) -> io::Result<Option<Reply>> {
         let Some(head) = self.read_head().await? else { return Ok(None) };
-        let body = tokio::time::timeout(ANSWER_TIMEOUT, self.messages.body(&head)).await;
+        let body = tokio::time::timeout(REPLY_TIMEOUT, self.messages.read_body(&head)).await;
         let body = body.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?;
         Ok(Some(Reply { head, body }))
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads the response; `None` if the connection is closed first.
     pub async fn call(&mut self, call: &Call) -> io::Result<Option<Reply>> {
         self.send(call).await?;
         self.read_reply().await
     }
 }
 
-/// Makes one request on a connection of its own; a status of 0 where it is closed unanswered.
+/// Sends one request on a new connection and reads the response. Its status is 0 if the connection
+/// is closed without a response.
 pub async fn call(address: SocketAddr, call: &Call) -> io::Result<Reply> {
     let mut connection = Connection::open(address).await?;
     Ok(connection.call(call).await?.unwrap_or_default())
--- a/teaselworks_standin/src/upstream.rs
+++ b/teaselworks_standin/src/upstream.rs
@@ -11,7 +11,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio_util::sync::CancellationToken;
 
-use crate::message::{Head, MessageReader, ReadBody, Start};
+use crate::message::{Head, MessageReader, ReceivedBody, StartLine};
 use crate::port::PortGuard;
 
 /// One step of a scripted response.
@@ -35,7 +35,7 @@
     /// Head of the request.
     pub head: Head,
     /// Body of the request.
-    pub body: ReadBody,
+    pub body: ReceivedBody,
     /// Whether the replica ran the request, as its [`Script`] says.
     pub has_run: bool,
     /// Number of the connection that it came on, counted from 0 since the replica last started to
@@ -51,9 +51,9 @@
 
     /// Returns the method and the request target.
     pub fn target(&self) -> (&str, &str) {
-        match &self.head.start {
-            Start::Request(method, target) => (method, target),
-            Start::Answer(_) => ("", ""),
+        match &self.head.start_line {
+            StartLine::Request(method, target) => (method, target),
+            StartLine::Response(_) => ("", ""),
         }
     }
 }
@@ -219,12 +219,12 @@
         FIRST_START_MS + START_INTERVAL_MS * self.restart_count.load(Ordering::Relaxed)
     }
 
-    /// Closes every connection and starts again with the same identifier and address, like a process
-    /// that crashes and restarts. Fails if the port cannot be bound again.
+    /// Closes every connection and starts again with the same identifier and address, like a
+    /// process that crashes and restarts. Fails if the port cannot be bound again.
     pub async fn restart(&self) -> io::Result<()> {
         self.stop();
         self.restart_count.fetch_add(1, Ordering::Relaxed);
-        // The port can be bound again once the cancelled tasks have ended and dropped their sockets.
+        // The port can be bound again once the cancelled tasks have dropped their sockets.
         let mut result = self.resume();
         for _ in 0..REBIND_ATTEMPTS {
             if result.is_ok() {
@@ -316,8 +316,8 @@
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
     let mut messages = MessageReader::new(reader);
-    while let Ok(Some(head)) = messages.head(true).await {
-        let body = messages.body(&head).await;
+    while let Ok(Some(head)) = messages.read_head(true).await {
+        let body = messages.read_body(&head).await;
         let mut received = ReceivedRequest { head, body, has_run: false, connection };
         let behaviour = lock(&state.behaviour).clone();
         let script = behaviour(&received);
