--- a/teaselworks_standin/src/port.rs
+++ b/teaselworks_standin/src/port.rs
@@ -1,25 +1,27 @@
-//! Free loopback ports.
+//! Reserves free loopback ports, so that no other process can take them during a test.
 
 use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted by a listener.
 const BACKLOG: u32 = 1_024;
 
-/// Free loopback port that nobody else is given while this value lives.
+/// A free loopback port that the operating system assigns to no other socket while this value
+/// exists.
 ///
-/// A port that is only looked up may go to another process before it is bound, and then a test
-/// talks to a stranger. A bound socket that never listens keeps the port: connections to it are
-/// refused, and only a listener that names the port can share it.
+/// If a test only looked up a free port, another process could bind it first, and the test would
+/// connect to that process. This type holds a socket that is bound to the port and never listens:
+/// connections to the port are refused, and only a listener that explicitly binds the port with
+/// `SO_REUSEADDR` can share it.
 #[derive(Debug)]
 pub struct PortGuard {
     socket: TcpSocket,
 }
 
 impl PortGuard {
-    /// Takes a free port.
+    /// Reserves a free port.
     ///
     /// ```
     /// use teaselworks_standin::port::PortGuard;
@@ -36,12 +38,12 @@
         Ok(Self { socket })
     }
 
-    /// Returns the address that is kept.
+    /// Returns the loopback address with the reserved port.
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().expect("a bound socket has an address")
     }
 
-    /// Listens on the port.
+    /// Listens on the reserved port. Fails while another socket listens on it.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
--- a/teaselworks_standin/src/program.rs
+++ b/teaselworks_standin/src/program.rs
@@ -1,10 +1,11 @@
-//! Programs that run themselves as routers, so that one command builds all of them.
+//! Entry point of programs that start their own executable as routers, so that one build of one
+//! executable is enough.
 
 use std::error::Error;
 use std::process::ExitCode;
 
-/// Runs the program as a router where its first argument says so, or else `run` to its end; a failure
-/// is told on standard error.
+/// Runs the program as a router if its first argument is `router`, otherwise runs `run` to its end.
+/// An error is printed to standard error.
 pub fn main_or_router<F>(run: impl FnOnce() -> F) -> ExitCode
 where
     F: Future<Output = Result<(), Box<dyn Error>>>,
