--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use teaselworks_policy::placement::Placement;
-use teaselworks_policy::upstream::{Incarnation, LoadReport, Symptom};
+use teaselworks_policy::upstream::{Incarnation, LoadReport, RequestOutcome};
 
 use super::Shared;
 use crate::event;
@@ -15,7 +15,7 @@
     service: Arc<str>,
     incarnation: Incarnation,
     began: Duration,
-    symptom: Option<Symptom>,
+    outcome: Option<RequestOutcome>,
 }
 
 impl InFlight {
@@ -23,7 +23,7 @@
     pub(super) fn new(shared: Arc<Shared>, service: Arc<str>, placement: &Placement) -> Self {
         let began = shared.now();
         let incarnation = placement.upstream.incarnation();
-        Self { shared, service, incarnation, began, symptom: None }
+        Self { shared, service, incarnation, began, outcome: None }
     }
 
     /// Returns the upstream.
@@ -32,8 +32,8 @@
     }
 
     /// Notes what became of the request; without it nothing is learnt from it.
-    pub(super) fn observe(&mut self, symptom: Symptom) {
-        self.symptom = Some(symptom);
+    pub(super) fn observe(&mut self, outcome: RequestOutcome) {
+        self.outcome = Some(outcome);
     }
 
     /// Notes that the answer has begun.
@@ -54,7 +54,7 @@
         let now = self.shared.now();
         let held = now.saturating_sub(self.began);
         let ejected =
-            self.shared.fleet().end(now, &self.service, &self.incarnation, self.symptom, held);
+            self.shared.fleet().end(now, &self.service, &self.incarnation, self.outcome, held);
         if ejected {
             self.shared.metrics.add_ejection();
             event::UPSTREAM_EJECTED.log(&[
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use teaselworks_policy::configuration::Kind;
 use teaselworks_policy::retry::Failure;
-use teaselworks_policy::upstream::Symptom;
+use teaselworks_policy::upstream::RequestOutcome;
 use teaselworks_policy::verdict::{Refusal, RefusalReason};
 
 use super::Shared;
@@ -187,7 +187,7 @@
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) if !answer.connection.was_cut() => break,
                 Ok(None | Some(Err(_))) | Err(_) => {
-                    in_flight.observe(Symptom::Broken);
+                    in_flight.observe(RequestOutcome::NoAnswer);
                     return Received::Failed(Failure::Broken, None);
                 }
             };
@@ -207,10 +207,10 @@
         let upstream = in_flight.upstream().clone();
         let whole = Whole { upstream, status, headers, bytes: bytes.freeze() };
         if !status.is_server_error() && !is_promise(status) {
-            in_flight.observe(Symptom::Answered);
+            in_flight.observe(RequestOutcome::Answered);
             return Received::Whole(whole);
         }
-        in_flight.observe(Symptom::Failed);
+        in_flight.observe(RequestOutcome::ErrorAnswer);
         Received::Failed(Failure::Failed, Some(whole))
     }
 
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -6,7 +6,7 @@
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Demand, Placement};
 use teaselworks_policy::retry::{Attempts, Failure, Next, RetryReason, decide};
-use teaselworks_policy::upstream::Symptom;
+use teaselworks_policy::upstream::RequestOutcome;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
 use super::Shared;
@@ -185,16 +185,16 @@
 }
 
 /// Returns what a failure says of the upstream.
-pub(super) fn symptom(failure: Failure) -> Symptom {
+pub(super) fn symptom(failure: Failure) -> RequestOutcome {
     match failure {
         // A replica that is full and one that is ill turn requests away alike; against its peers the
         // ill one does so more often.
-        Failure::Rejected | Failure::Failed => Symptom::Failed,
+        Failure::Rejected | Failure::Failed => RequestOutcome::ErrorAnswer,
         Failure::Unreachable
         | Failure::NotSent
         | Failure::Moved
         | Failure::Broken
         | Failure::Silent
-        | Failure::Foreign => Symptom::Broken,
+        | Failure::Foreign => RequestOutcome::NoAnswer,
     }
 }
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 use teaselworks_policy::retry::Failure;
-use teaselworks_policy::upstream::Symptom;
+use teaselworks_policy::upstream::RequestOutcome;
 use tokio::time::{Instant, Sleep};
 
 use super::EventSplitter;
@@ -189,7 +189,7 @@
     async fn resume(&mut self, mut failure: Failure) -> Result<(), BodyError> {
         // The connection is closed before another upstream goes on with the work.
         if let Some(mut source) = self.source.take() {
-            source.in_flight.observe(Symptom::Broken);
+            source.in_flight.observe(RequestOutcome::NoAnswer);
         }
         let Some(splitter) = &mut self.splitter else { return Err(BodyError::Broken) };
         splitter.drop_part();
@@ -211,7 +211,7 @@
             let answer = match attempt.run(body, size_bytes).await {
                 Ok(answer) if answer.status == self.status => answer,
                 Ok(_) => {
-                    in_flight.observe(Symptom::Failed);
+                    in_flight.observe(RequestOutcome::ErrorAnswer);
                     failure = Failure::Failed;
                     continue;
                 }
@@ -235,7 +235,7 @@
         let Self { source, serving, progress, status, .. } = self;
         let Some(Source { mut in_flight, connection, closes, body }) = source else { return };
         drop(body);
-        in_flight.observe(Symptom::Answered);
+        in_flight.observe(RequestOutcome::Answered);
         let attempts = serving.attempts();
         progress.answered(status.as_u16(), in_flight.upstream(), attempts);
         if !closes {
@@ -248,7 +248,7 @@
         let Self { source, serving, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
         if let Some(mut source) = source.filter(|_| cause != BodyError::Deadline) {
-            source.in_flight.observe(Symptom::Broken);
+            source.in_flight.observe(RequestOutcome::NoAnswer);
         }
         progress.broken(cause, upstream.as_deref().unwrap_or(""), serving.attempts());
     }
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -9,7 +9,7 @@
 use teaselworks_policy::configuration::Route;
 use teaselworks_policy::fleet::Fleet;
 use teaselworks_policy::placement::Placement;
-use teaselworks_policy::upstream::{Incarnation, Symptom};
+use teaselworks_policy::upstream::{Incarnation, RequestOutcome};
 
 use crate::caller::{Call, arrivals, milliseconds};
 use crate::engine::{Engine, Job, Progress};
@@ -161,7 +161,7 @@
             }
             Event::Reach(call) => self.reach(call),
             Event::Unreachable(call) => {
-                let Some(sent) = self.end(call, Some(Symptom::Broken)) else { return };
+                let Some(sent) = self.end(call, Some(RequestOutcome::NoAnswer)) else { return };
                 self.place(call, sent.router, sent.tried, sent.is_late);
             }
         }
@@ -230,7 +230,7 @@
             self.outcome.totals.shared_tokens += shared_tokens;
             return;
         }
-        self.end(call, Some(Symptom::Failed));
+        self.end(call, Some(RequestOutcome::ErrorAnswer));
         let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
         let retry_after = self.routers[router].return_after(self.now, SERVICE, latest);
         self.refuse(call, retry_after);
@@ -271,7 +271,7 @@
     }
 
     fn on_done(&mut self, call: usize) {
-        let Some(sent) = self.end(call, Some(Symptom::Answered)) else { return };
+        let Some(sent) = self.end(call, Some(RequestOutcome::Answered)) else { return };
         let route = &self.routes[self.calls[call].kind].name;
         self.routers[sent.router].on_answered(route, self.now.saturating_sub(sent.at));
         let Call { kind, asked_at, first_at, .. } = self.calls[call];
@@ -291,10 +291,10 @@
     }
 
     /// Takes a call off its engine at the router.
-    fn end(&mut self, call: usize, symptom: Option<Symptom>) -> Option<Sent> {
+    fn end(&mut self, call: usize, request_outcome: Option<RequestOutcome>) -> Option<Sent> {
         let sent = self.sent.remove(&call)?;
         let held = self.now.saturating_sub(sent.at);
-        self.routers[sent.router].end(self.now, SERVICE, &sent.incarnation, symptom, held);
+        self.routers[sent.router].end(self.now, SERVICE, &sent.incarnation, request_outcome, held);
         Some(sent)
     }
 
@@ -303,8 +303,8 @@
         let mut over: Vec<usize> = self.sent.keys().copied().filter(is_over).collect();
         over.sort_unstable();
         for call in over {
-            // Silence until the end of a request's time is a symptom.
-            let Some(sent) = self.end(call, Some(Symptom::Broken)) else { continue };
+            // Silence until the end of a request's time is a request outcome.
+            let Some(sent) = self.end(call, Some(RequestOutcome::NoAnswer)) else { continue };
             self.engines[sent.engine].cancel(call);
             self.count(call, |window| &mut window.failed);
         }
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -15,8 +15,8 @@
 use crate::stop::{Arrival, StopPlan};
 use crate::times::RouteTimes;
 use crate::upstream::{
-    Change, ConnectTimes, HeardOf, Incarnation, Judged, LoadReport, Pool, Sightings, Symptom,
-    Upstream,
+    Change, ConnectTimes, HeardOf, Incarnation, Judged, LoadReport, Pool, RequestOutcome,
+    Sightings, Upstream,
 };
 use crate::verdict::{Refusal, RefusalReason};
 
@@ -244,10 +244,10 @@
         now: Duration,
         service: &str,
         incarnation: &Incarnation,
-        symptom: Option<Symptom>,
+        outcome: Option<RequestOutcome>,
         held: Duration,
     ) -> bool {
-        self.pools.get_mut(service).is_some_and(|pool| pool.end(now, incarnation, symptom, held))
+        self.pools.get_mut(service).is_some_and(|pool| pool.end(now, incarnation, outcome, held))
     }
 
     /// Returns when a caller whose request replicas turned away should come back.
--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -16,13 +16,13 @@
 
 /// What became of a request at an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Symptom {
+pub enum RequestOutcome {
     /// It answered.
     Answered,
     /// It answered that it failed.
-    Failed,
+    ErrorAnswer,
     /// It could not be reached, broke off, was silent, or sent what was no answer to the request.
-    Broken,
+    NoAnswer,
 }
 
 /// Health of one upstream.
@@ -43,23 +43,28 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use teaselworks_policy::upstream::{Health, Symptom};
+    /// use teaselworks_policy::upstream::{Health, RequestOutcome};
     ///
     /// let mut health = Health::default();
-    /// assert!(!health.observe(Duration::ZERO, Symptom::Broken, 0.0));
-    /// assert!(health.observe(Duration::ZERO, Symptom::Broken, 0.0));
+    /// assert!(!health.observe(Duration::ZERO, RequestOutcome::NoAnswer, 0.0));
+    /// assert!(health.observe(Duration::ZERO, RequestOutcome::NoAnswer, 0.0));
     /// assert!(!health.is_usable(Duration::from_millis(500)));
     /// assert!(health.is_usable(Duration::from_millis(1_000)));
     /// ```
-    pub fn observe(&mut self, now: Duration, symptom: Symptom, mean_failed_share: f64) -> bool {
-        let failed = if symptom == Symptom::Answered { 0.0 } else { 1.0 };
+    pub fn observe(
+        &mut self,
+        now: Duration,
+        outcome: RequestOutcome,
+        mean_failed_share: f64,
+    ) -> bool {
+        let failed = if outcome == RequestOutcome::Answered { 0.0 } else { 1.0 };
         self.failed_share += LATEST_WEIGHT * (failed - self.failed_share);
-        self.broken_in_a_row = match symptom {
-            Symptom::Broken => self.broken_in_a_row + 1,
-            Symptom::Answered | Symptom::Failed => 0,
+        self.broken_in_a_row = match outcome {
+            RequestOutcome::NoAnswer => self.broken_in_a_row + 1,
+            RequestOutcome::Answered | RequestOutcome::ErrorAnswer => 0,
         };
         let was_on_trial = std::mem::take(&mut self.is_on_trial);
-        if symptom == Symptom::Answered {
+        if outcome == RequestOutcome::Answered {
             self.is_by_word = false;
             if was_on_trial {
                 self.failed_share = mean_failed_share;
@@ -69,7 +74,7 @@
         }
         let is_grey = self.failed_share > mean_failed_share + EXCESS_FAILURES;
         let is_broken = self.broken_in_a_row >= FAILURES_TO_EJECT;
-        let failed_trial = was_on_trial && symptom == Symptom::Broken;
+        let failed_trial = was_on_trial && outcome == RequestOutcome::NoAnswer;
         if !(is_grey || is_broken || failed_trial) || self.is_ejected(now) {
             return false;
         }
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -15,7 +15,7 @@
 
 pub use self::concurrency::ConcurrencyLimit;
 pub use self::connecting::ConnectTimes;
-pub use self::health::{Health, Symptom};
+pub use self::health::{Health, RequestOutcome};
 pub use self::load::{Foreign, Load, LoadReport, Usual};
 pub use self::pool::{Member, Pool};
 pub use self::reach::Reach;
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ConcurrencyLimit, Health, HeardOf, Incarnation, Judged, Load, LoadReport, Reach,
-    SharedFailures, SharedLoad, Sightings, Symptom, Upstream,
+    RequestOutcome, SharedFailures, SharedLoad, Sightings, Upstream,
 };
 
 /// Weight of the latest request in a running mean of times.
@@ -187,25 +187,25 @@
         &mut self,
         now: Duration,
         incarnation: &Incarnation,
-        symptom: Option<Symptom>,
+        outcome: Option<RequestOutcome>,
         held: Duration,
     ) -> bool {
         let mean_failed_share = self.mean_failed_share();
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end();
-        match symptom {
-            Some(Symptom::Answered | Symptom::Failed) => member.reach.see(now),
-            Some(Symptom::Broken) => member.reach.fail(now, now.saturating_sub(held)),
+        match outcome {
+            Some(RequestOutcome::Answered | RequestOutcome::ErrorAnswer) => member.reach.see(now),
+            Some(RequestOutcome::NoAnswer) => member.reach.fail(now, now.saturating_sub(held)),
             None => {}
         }
-        if symptom == Some(Symptom::Answered) {
+        if outcome == Some(RequestOutcome::Answered) {
             member.is_blank = false;
             let mean = member.mean_time.unwrap_or(held).as_secs_f64();
             let mean = mean + LATEST_WEIGHT * (held.as_secs_f64() - mean);
             member.mean_time = Some(Duration::from_secs_f64(mean));
         }
-        match symptom {
-            Some(symptom) => member.health.observe(now, symptom, mean_failed_share),
+        match outcome {
+            Some(outcome) => member.health.observe(now, outcome, mean_failed_share),
             None => {
                 member.health.forget_trial();
                 false
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselworks_policy::upstream::{LoadReport, Pool, Symptom, Upstream};
+use teaselworks_policy::upstream::{LoadReport, Pool, RequestOutcome, Upstream};
 
 const AIM: Duration = Duration::from_millis(300);
 
@@ -24,7 +24,7 @@
         }
         pool.first_byte(now, waited, 7);
         for _ in 0..in_progress {
-            pool.end(now, &upstream, Some(Symptom::Answered), waited);
+            pool.end(now, &upstream, Some(RequestOutcome::Answered), waited);
         }
     }
 }
@@ -102,7 +102,7 @@
     }
     assert!(pool.is_saturated(now, true));
     for _ in 0..2 {
-        pool.end(now, &upstream, Some(Symptom::Broken), Duration::ZERO);
+        pool.end(now, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
     }
     assert!(!pool.is_saturated(now, true));
 }
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -6,12 +6,12 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use teaselworks_policy::placement::{Demand, PlacementSettings, place};
-use teaselworks_policy::upstream::{Health, Pool, Symptom, Upstream};
+use teaselworks_policy::upstream::{Health, Pool, RequestOutcome, Upstream};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn broken(health: &mut Health, now: Duration, times: usize) -> bool {
-    (0..times).any(|_| health.observe(now, Symptom::Broken, 0.0))
+    (0..times).any(|_| health.observe(now, RequestOutcome::NoAnswer, 0.0))
 }
 
 /// Guards against a burst of failures at a replica whose ejection ends while it is down.
@@ -23,7 +23,7 @@
     assert!(health.is_usable(2 * SECOND));
     health.begin(2 * SECOND);
     assert!(!health.is_usable(2 * SECOND), "the trial is under way");
-    assert!(health.observe(2 * SECOND, Symptom::Broken, 0.0), "the trial failed");
+    assert!(health.observe(2 * SECOND, RequestOutcome::NoAnswer, 0.0), "the trial failed");
     assert!(!health.is_usable(3 * SECOND), "the second ejection is longer");
     assert!(health.is_usable(4 * SECOND));
 }
@@ -43,15 +43,16 @@
 fn failures_that_all_replicas_share_eject_none() {
     let mut health = Health::default();
     for number in 0..200 {
-        let symptom = if number % 7 == 0 { Symptom::Failed } else { Symptom::Answered };
-        assert!(!health.observe(SECOND, symptom, 0.14));
+        let outcome =
+            if number % 7 == 0 { RequestOutcome::ErrorAnswer } else { RequestOutcome::Answered };
+        assert!(!health.observe(SECOND, outcome, 0.14));
     }
 }
 
 #[test]
 fn a_replica_that_fails_more_than_its_peers_is_ejected() {
     let mut health = Health::default();
-    let ejected = (0..20).any(|_| health.observe(SECOND, Symptom::Failed, 0.05));
+    let ejected = (0..20).any(|_| health.observe(SECOND, RequestOutcome::ErrorAnswer, 0.05));
     assert!(ejected);
 }
 
@@ -83,7 +84,7 @@
         let upstream = Upstream::example(&format!("i-{}", ejected - 1), "chat").incarnation();
         for _ in 0..2 {
             pool.begin(SECOND, &upstream);
-            pool.end(SECOND, &upstream, Some(Symptom::Broken), Duration::ZERO);
+            pool.end(SECOND, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
         }
         let left = chosen(&pool);
         assert_eq!(left, if ejected <= 2 { 4 - ejected } else { 4 }, "{ejected} ejected");
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -5,7 +5,7 @@
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
 use teaselworks_policy::retry::BudgetSettings;
-use teaselworks_policy::upstream::{Change, Load, LoadReport, Symptom, Upstream, Usual};
+use teaselworks_policy::upstream::{Change, Load, LoadReport, RequestOutcome, Upstream, Usual};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -76,7 +76,7 @@
 fn fail(fleet: &mut Fleet, now: Duration, times: u32) {
     let upstream = Upstream::example("i-1", "service").incarnation();
     for _ in 0..times {
-        fleet.end(now, "service", &upstream, Some(Symptom::Broken), SECOND / 10);
+        fleet.end(now, "service", &upstream, Some(RequestOutcome::NoAnswer), SECOND / 10);
     }
 }
 
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::placement::{
     Demand, Part, Placement, PlacementSettings, Prompt, Reason, identity, place, score,
 };
-use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, Symptom, Upstream};
+use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, RequestOutcome, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
 
 const NOW: Duration = Duration::from_secs(5);
@@ -142,7 +142,7 @@
     for number in 0..4 {
         let upstream = incarnation(&pool, &format!("i-{number}"));
         pool.begin(NOW, &upstream);
-        pool.end(NOW, &upstream, Some(Symptom::Answered), Duration::from_millis(900));
+        pool.end(NOW, &upstream, Some(RequestOutcome::Answered), Duration::from_millis(900));
         let waiting = if prompts { number } else { 4 };
         pool.report(NOW, &upstream, LoadReport { running: 4, waiting });
     }
@@ -187,7 +187,7 @@
         for (rank, id) in order.iter().enumerate() {
             let upstream = incarnation(&pool, id);
             pool.begin(NOW, &upstream);
-            pool.end(NOW, &upstream, Some(Symptom::Answered), Duration::from_millis(900));
+            pool.end(NOW, &upstream, Some(RequestOutcome::Answered), Duration::from_millis(900));
             let running = if rank < 5 { 4 } else { 1 };
             pool.report(NOW, &upstream, LoadReport { running, waiting: 0 });
         }
@@ -294,7 +294,7 @@
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     for _ in 0..2 {
         pool.begin(NOW, &before);
-        pool.end(NOW, &before, Some(Symptom::Broken), Duration::ZERO);
+        pool.end(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO);
     }
     pool.begin(NOW, &before);
     pool.put(restarted(&pool, "i-0"));
@@ -304,8 +304,8 @@
 
     let after = incarnation(&pool, "i-0");
     pool.begin(NOW, &after);
-    assert!(!pool.end(NOW, &before, Some(Symptom::Broken), Duration::ZERO));
-    pool.end(NOW, &before, Some(Symptom::Answered), Duration::from_secs(9));
+    assert!(!pool.end(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO));
+    pool.end(NOW, &before, Some(RequestOutcome::Answered), Duration::from_secs(9));
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     let member = &pool.members()[0];
     assert_eq!((member.load.own(), member.load.report_age(NOW)), (1, None));
@@ -335,7 +335,7 @@
             pool.begin(NOW, &after);
         }
         assert_ne!(place(&pool).holder, Some(home.address));
-        pool.end(NOW, &after, Some(Symptom::Answered), Duration::from_millis(500));
+        pool.end(NOW, &after, Some(RequestOutcome::Answered), Duration::from_millis(500));
         assert_eq!(place(&pool).holder, Some(home.address));
     }
 }
--- a/teaselworks_policy/tests/returns.rs
+++ b/teaselworks_policy/tests/returns.rs
@@ -9,7 +9,7 @@
 use teaselworks_policy::membership::Membership;
 use teaselworks_policy::placement::{Demand, Returns};
 use teaselworks_policy::retry::BudgetSettings;
-use teaselworks_policy::upstream::{Change, LoadReport, Symptom, Upstream};
+use teaselworks_policy::upstream::{Change, LoadReport, RequestOutcome, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -65,7 +65,7 @@
     };
     assert!(fleet.place(SECOND, "service", &demand).is_ok());
     let incarnation = upstream.incarnation();
-    fleet.end(2 * SECOND, "service", &incarnation, Some(Symptom::Answered), SECOND);
+    fleet.end(2 * SECOND, "service", &incarnation, Some(RequestOutcome::Answered), SECOND);
     let report = LoadReport { running: 8, waiting: 30 };
     fleet.report(2 * SECOND, "service", &incarnation, report);
     let refusal = fleet.place(2 * SECOND, "service", &demand).unwrap_err();
