--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use teaselworks_policy::configuration::Configuration;
-use teaselworks_policy::upstream::{Change, Listed, Registry, Sightings};
+use teaselworks_policy::upstream::{Change, Listed, Registry, SharedObservations};
 
 use super::{News, StoreCache};
 use crate::event;
@@ -65,13 +65,13 @@
     }
 
     /// Returns what this router itself heard of upstreams after a time.
-    pub fn own_sightings_after(&self, after: Duration) -> Sightings {
+    pub fn own_sightings_after(&self, after: Duration) -> SharedObservations {
         self.shared.fleet().sightings_after(self.shared.now(), after, true)
     }
 
     /// Takes what other routers heard of upstreams.
-    pub fn on_sightings(&self, sightings: &Sightings) {
-        self.shared.hear(sightings);
+    pub fn on_sightings(&self, observations: &SharedObservations) {
+        self.shared.hear(observations);
     }
 
     /// Notes that the store cannot be read.
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use teaselworks_policy::upstream::{SharedFailures, SharedLoad, Sightings};
+use teaselworks_policy::upstream::{SharedFailures, SharedLoad, SharedObservations};
 
 use super::PeerError;
 use crate::beliefs::News;
@@ -51,28 +51,29 @@
 type Row = (u64, u32, u32);
 
 impl Heard {
-    /// Packs sightings for a message.
+    /// Packs observations for a message.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks::peers::message::Heard;
-    /// use teaselworks_policy::upstream::{SharedLoad, Sightings};
+    /// use teaselworks_policy::upstream::{SharedLoad, SharedObservations};
     ///
     /// let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(40) };
-    /// let sightings = Sightings { loads: vec![load], ..Sightings::default() };
-    /// assert_eq!(Heard::pack(&sightings).unpack(), sightings);
+    /// let observations =
+    ///     SharedObservations { loads: vec![load], ..SharedObservations::default() };
+    /// assert_eq!(Heard::pack(&observations).unpack(), observations);
     /// ```
-    pub fn pack(sightings: &Sightings) -> Self {
+    pub fn pack(observations: &SharedObservations) -> Self {
         let load = |load: &SharedLoad| (load.incarnation, load.total, ms(load.age));
         let failed = |told: &SharedFailures| (told.incarnation, told.count, ms(told.age));
         Self {
-            loads: sightings.loads.iter().map(load).collect(),
-            failures: sightings.failures.iter().map(failed).collect(),
+            loads: observations.loads.iter().map(load).collect(),
+            failures: observations.failures.iter().map(failed).collect(),
         }
     }
 
-    /// Unpacks the sightings of a message.
-    pub fn unpack(&self) -> Sightings {
+    /// Unpacks the observations of a message.
+    pub fn unpack(&self) -> SharedObservations {
         let load = |&(incarnation, total, age_ms): &Row| {
             let age = Duration::from_millis(age_ms.into());
             SharedLoad { incarnation, total, age }
@@ -81,7 +82,7 @@
             let age = Duration::from_millis(age_ms.into());
             SharedFailures { incarnation, count, age }
         };
-        Sightings {
+        SharedObservations {
             loads: self.loads.iter().map(load).collect(),
             failures: self.failures.iter().map(failed).collect(),
         }
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::fleet::Fleet;
 use teaselworks_policy::stop::StopPlan;
-use teaselworks_policy::upstream::{Judged, Sightings};
+use teaselworks_policy::upstream::{Judged, SharedObservations};
 use teaselworks_policy::verdict::Refusal;
 use tokio::sync::Notify;
 
@@ -99,8 +99,8 @@
     }
 
     /// Takes what other routers heard of upstreams.
-    pub fn hear(&self, sightings: &Sightings) {
-        let judged = self.fleet().hear(self.now(), sightings);
+    pub fn hear(&self, observations: &SharedObservations) {
+        let judged = self.fleet().hear(self.now(), observations);
         for Judged { upstream, is_ejected } in judged {
             if is_ejected {
                 self.metrics.add_ejection();
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -8,7 +8,7 @@
 use teaselworks::peers::message::{self, Answer, Heard, Question};
 use teaselworks::platform::{Belief, Item, ItemChange, decode};
 use teaselworks_policy::configuration::{Configuration, Kind};
-use teaselworks_policy::upstream::{SharedLoad, Sightings, Upstream};
+use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
 
 fn item(key: &str, value: &[u8]) -> Item {
     Item { key: key.into(), value: Some(value.to_vec().into()), revision: 1 }
@@ -159,7 +159,7 @@
     ) {
         let changes = vec![ItemChange::Written(item("servers/i-1", &value))];
         let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(9) };
-        let heard = Heard::pack(&Sightings { loads: vec![load], ..Sightings::default() });
+        let heard = Heard::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
         let answer = Answer { reads_store: true, news: News::Changes(changes), heard };
         let bytes = message::encode(&answer).unwrap();
         prop_assert_eq!(message::decode::<Answer>(&bytes).unwrap().news, answer.news);
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -141,9 +141,9 @@
         for router in others.iter() {
             reader.hear(self.now, &router.sightings_after(self.now, after, true));
         }
-        let sightings = reader.sightings_after(self.now, after, false);
+        let observations = reader.sightings_after(self.now, after, false);
         for router in others {
-            router.hear(self.now, &sightings);
+            router.hear(self.now, &observations);
         }
     }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -15,8 +15,8 @@
 use crate::stop::{Arrival, StopPlan};
 use crate::times::RouteTimes;
 use crate::upstream::{
-    Change, ConnectTimes, HeardOf, Incarnation, Judged, LoadReport, Pool, RequestOutcome,
-    Sightings, Upstream,
+    Change, ConnectTimes, Incarnation, Judged, LoadReport, ObservationIndex, Pool, RequestOutcome,
+    SharedObservations, Upstream,
 };
 use crate::verdict::{Refusal, RefusalReason};
 
@@ -218,23 +218,28 @@
 
     /// Returns what was heard of replicas after a time, for other routers; `only_own` leaves out what
     /// others said.
-    pub fn sightings_after(&self, now: Duration, after: Duration, only_own: bool) -> Sightings {
-        let mut sightings = Sightings::default();
+    pub fn sightings_after(
+        &self,
+        now: Duration,
+        after: Duration,
+        only_own: bool,
+    ) -> SharedObservations {
+        let mut observations = SharedObservations::default();
         for pool in self.pools.values() {
-            sightings.extend(pool.sightings_after(now, after, only_own));
+            observations.extend(pool.observations_after(now, after, only_own));
         }
-        sightings
+        observations
     }
 
     /// Takes what another router heard of replicas; returns those that are ejected or in use again
     /// for it.
     ///
     /// Answers many routers before many replicas, of which each hears from one only now and then.
-    pub fn hear(&mut self, now: Duration, sightings: &Sightings) -> Vec<Judged> {
-        if sightings.is_empty() {
+    pub fn hear(&mut self, now: Duration, observations: &SharedObservations) -> Vec<Judged> {
+        if observations.is_empty() {
             return Vec::new();
         }
-        let heard = HeardOf::from(sightings);
+        let heard = ObservationIndex::from(observations);
         self.pools.values_mut().flat_map(|pool| pool.hear(now, &heard)).collect()
     }
 
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -4,10 +4,10 @@
 mod connecting;
 mod health;
 mod load;
+mod observations;
 mod pool;
 mod reach;
 mod registry;
-mod sightings;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,10 +17,12 @@
 pub use self::connecting::ConnectTimes;
 pub use self::health::{Health, RequestOutcome};
 pub use self::load::{Foreign, Load, LoadReport, Usual};
+pub use self::observations::{
+    Judged, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
+};
 pub use self::pool::{Member, Pool};
 pub use self::reach::Reach;
 pub use self::registry::{Change, Listed, Registry};
-pub use self::sightings::{HeardOf, Judged, SharedFailures, SharedLoad, Sightings};
 
 /// One start of a replica. Two starts may have the same identifier and address.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
--- a/teaselworks_policy/src/upstream/sightings.rs
+++ b/teaselworks_policy/src/upstream/observations.rs
@@ -28,38 +28,38 @@
 
 /// What one router heard of upstreams since it told it last.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Sightings {
+pub struct SharedObservations {
     /// Loads.
     pub loads: Vec<SharedLoad>,
     /// Failures.
     pub failures: Vec<SharedFailures>,
 }
 
-impl Sightings {
+impl SharedObservations {
     /// Tells whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.loads.is_empty() && self.failures.is_empty()
     }
 
     /// Adds what is known of another service.
-    pub fn extend(&mut self, other: Sightings) {
+    pub fn extend(&mut self, other: SharedObservations) {
         self.loads.extend(other.loads);
         self.failures.extend(other.failures);
     }
 }
 
-/// Sightings by the hash of the incarnation.
+/// SharedObservations by the hash of the incarnation.
 #[derive(Clone, Debug, Default)]
-pub struct HeardOf {
+pub struct ObservationIndex {
     pub(super) loads: HashMap<u64, SharedLoad>,
     pub(super) failures: HashMap<u64, SharedFailures>,
 }
 
-impl From<&Sightings> for HeardOf {
-    fn from(sightings: &Sightings) -> Self {
+impl From<&SharedObservations> for ObservationIndex {
+    fn from(observations: &SharedObservations) -> Self {
         Self {
-            loads: sightings.loads.iter().map(|load| (load.incarnation, *load)).collect(),
-            failures: sightings.failures.iter().map(|told| (told.incarnation, *told)).collect(),
+            loads: observations.loads.iter().map(|load| (load.incarnation, *load)).collect(),
+            failures: observations.failures.iter().map(|told| (told.incarnation, *told)).collect(),
         }
     }
 }
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -6,8 +6,8 @@
 use crate::placement::{Returns, identity, score};
 
 use super::{
-    ConcurrencyLimit, Health, HeardOf, Incarnation, Judged, Load, LoadReport, Reach,
-    RequestOutcome, SharedFailures, SharedLoad, Sightings, Upstream,
+    ConcurrencyLimit, Health, Incarnation, Judged, Load, LoadReport, ObservationIndex, Reach,
+    RequestOutcome, SharedFailures, SharedLoad, SharedObservations, Upstream,
 };
 
 /// Weight of the latest request in a running mean of times.
@@ -215,22 +215,27 @@
 
     /// Returns what was heard of the replicas after a time; `only_own` leaves out what other routers
     /// said.
-    pub fn sightings_after(&self, now: Duration, after: Duration, only_own: bool) -> Sightings {
-        let mut sightings = Sightings::default();
+    pub fn observations_after(
+        &self,
+        now: Duration,
+        after: Duration,
+        only_own: bool,
+    ) -> SharedObservations {
+        let mut observations = SharedObservations::default();
         for member in &self.members {
             let incarnation = member.incarnation_hash();
             if let Some((total, age)) = member.load.heard_after(now, after, only_own) {
-                sightings.loads.push(SharedLoad { incarnation, total, age });
+                observations.loads.push(SharedLoad { incarnation, total, age });
             }
             if let Some((count, age)) = member.reach.told_after(now, after, only_own) {
-                sightings.failures.push(SharedFailures { incarnation, count, age });
+                observations.failures.push(SharedFailures { incarnation, count, age });
             }
         }
-        sightings
+        observations
     }
 
     /// Takes what another router heard; returns the replicas that are ejected or in use again for it.
-    pub fn hear(&mut self, now: Duration, heard: &HeardOf) -> Vec<Judged> {
+    pub fn hear(&mut self, now: Duration, heard: &ObservationIndex) -> Vec<Judged> {
         let mut judged = Vec::new();
         for member in &mut self.members {
             let hash = member.incarnation_hash();
