--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::fleet::Fleet;
 use teaselworks_policy::stop::StopPlan;
-use teaselworks_policy::upstream::{Judged, SharedObservations};
+use teaselworks_policy::upstream::{EjectionChange, SharedObservations};
 use teaselworks_policy::verdict::Refusal;
 use tokio::sync::Notify;
 
@@ -100,8 +100,8 @@
 
     /// Takes what other routers heard of upstreams.
     pub fn hear(&self, observations: &SharedObservations) {
-        let judged = self.fleet().hear(self.now(), observations);
-        for Judged { upstream, is_ejected } in judged {
+        let changes = self.fleet().hear(self.now(), observations);
+        for EjectionChange { upstream, is_ejected } in changes {
             if is_ejected {
                 self.metrics.add_ejection();
                 event::UPSTREAM_EJECTED
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -15,8 +15,8 @@
 use crate::stop::{Arrival, StopPlan};
 use crate::times::RouteTimes;
 use crate::upstream::{
-    Change, ConnectTimes, Incarnation, Judged, LoadReport, ObservationIndex, Pool, RequestOutcome,
-    SharedObservations, Upstream,
+    Change, ConnectTimes, EjectionChange, Incarnation, LoadReport, ObservationIndex, Pool,
+    RequestOutcome, SharedObservations, Upstream,
 };
 use crate::verdict::{Refusal, RefusalReason};
 
@@ -235,7 +235,11 @@
     /// for it.
     ///
     /// Answers many routers before many replicas, of which each hears from one only now and then.
-    pub fn hear(&mut self, now: Duration, observations: &SharedObservations) -> Vec<Judged> {
+    pub fn hear(
+        &mut self,
+        now: Duration,
+        observations: &SharedObservations,
+    ) -> Vec<EjectionChange> {
         if observations.is_empty() {
             return Vec::new();
         }
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 pub use self::health::{Health, RequestOutcome};
 pub use self::load::{Foreign, Load, LoadReport, Usual};
 pub use self::observations::{
-    Judged, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
+    EjectionChange, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
 };
 pub use self::pool::{Member, Pool};
 pub use self::reach::Reach;
--- a/teaselworks_policy/src/upstream/observations.rs
+++ b/teaselworks_policy/src/upstream/observations.rs
@@ -66,7 +66,7 @@
 
 /// A replica of which other routers' words changed the use.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Judged {
+pub struct EjectionChange {
     /// Its identifier.
     pub upstream: Arc<str>,
     /// It gets no requests for a while; else it gets requests again.
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -6,8 +6,8 @@
 use crate::placement::{Returns, identity, score};
 
 use super::{
-    ConcurrencyLimit, Health, Incarnation, Judged, Load, LoadReport, ObservationIndex, Reach,
-    RequestOutcome, SharedFailures, SharedLoad, SharedObservations, Upstream,
+    ConcurrencyLimit, EjectionChange, Health, Incarnation, Load, LoadReport, ObservationIndex,
+    Reach, RequestOutcome, SharedFailures, SharedLoad, SharedObservations, Upstream,
 };
 
 /// Weight of the latest request in a running mean of times.
@@ -235,8 +235,8 @@
     }
 
     /// Takes what another router heard; returns the replicas that are ejected or in use again for it.
-    pub fn hear(&mut self, now: Duration, heard: &ObservationIndex) -> Vec<Judged> {
-        let mut judged = Vec::new();
+    pub fn hear(&mut self, now: Duration, heard: &ObservationIndex) -> Vec<EjectionChange> {
+        let mut changes = Vec::new();
         for member in &mut self.members {
             let hash = member.incarnation_hash();
             if let Some(load) = heard.loads.get(&hash) {
@@ -252,10 +252,13 @@
                 member.reach.has_no_failure() && member.health.readmit()
             };
             if has_changed {
-                judged.push(Judged { upstream: member.upstream.id.clone(), is_ejected: is_silent });
+                changes.push(EjectionChange {
+                    upstream: member.upstream.id.clone(),
+                    is_ejected: is_silent,
+                });
             }
         }
-        judged
+        changes
     }
 
     /// Takes a replica's report of its load; one of an earlier start changes nothing.
