--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{Demand, PlacementSettings};
-use crate::upstream::{Member, Pool, Usual};
+use crate::upstream::{AverageLoad, Member, Pool};
 use crate::verdict::RefusalReason;
 
 /// Part of what callers aim at that a request may wait for a slot. The same for every request of a
@@ -38,7 +38,7 @@
     member: &Member,
     now: Duration,
     demand: &Demand<'_>,
-    usual: &Usual,
+    usual: &AverageLoad,
     settings: &PlacementSettings,
 ) -> bool {
     if demand.is_begun {
@@ -54,7 +54,7 @@
 fn expected_wait(
     member: &Member,
     now: Duration,
-    usual: &Usual,
+    usual: &AverageLoad,
     settings: &PlacementSettings,
 ) -> Option<Duration> {
     let slots = f64::from(member.upstream.slots.max(1));
@@ -68,5 +68,5 @@
 /// Tells whether a report is known: without one the load is a guess from few requests, too coarse to
 /// refuse on.
 fn is_known(member: &Member, now: Duration, settings: &PlacementSettings) -> bool {
-    member.load.foreign(now, settings.routers).is_some()
+    member.load.peer_load(now, settings.routers).is_some()
 }
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -8,7 +8,7 @@
 
 use super::scan::Scan;
 use super::{Prompt, admission};
-use crate::upstream::{Member, Pool, Upstream, Usual};
+use crate::upstream::{AverageLoad, Member, Pool, Upstream};
 use crate::verdict::{Refusal, RefusalReason};
 
 /// Time after which a caller may come back to a service without a usable replica: ejected replicas
@@ -232,7 +232,7 @@
 fn look<'a>(
     order: impl Iterator<Item = &'a Member>,
     now: Duration,
-    usual: &Usual,
+    usual: &AverageLoad,
     bound: f64,
 ) -> Looked<'a> {
     let mut full = 0;
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Demand, score};
-use crate::upstream::{Foreign, Member, Pool, Usual};
+use crate::upstream::{AverageLoad, Member, PeerLoad, Pool};
 
 /// Replicas of a key's order that are kept; where none of them has room, the order ends.
 const FIRST: usize = 4;
@@ -55,7 +55,7 @@
     /// Replicas of whose other requests nothing is known, with parts.
     unknown: f64,
     slots: u32,
-    usual: Usual,
+    usual: AverageLoad,
     first: Top<'a, FIRST>,
     /// Members that may lend what they keep of a prompt.
     lenders: Top<'a, 2>,
@@ -82,7 +82,7 @@
             known: 0.0,
             unknown: 0.0,
             slots: 0,
-            usual: Usual { foreign: 0.0, own: 0.0, routers },
+            usual: AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers },
             first: Top::new(),
             lenders: Top::new(),
         };
@@ -114,11 +114,11 @@
                 continue;
             }
             count += 1;
-            own += member.load.own();
+            own += member.load.own_requests();
             slots = slots.saturating_add(member.upstream.slots);
-            if let Some(Foreign { requests, trust }) = member.load.foreign(self.now, routers) {
-                reported += requests * trust;
-                trusted += trust;
+            if let Some(PeerLoad { requests, weight }) = member.load.peer_load(self.now, routers) {
+                reported += requests * weight;
+                trusted += weight;
             }
             self.first.add(score, member);
         }
@@ -131,8 +131,8 @@
         // alone, one own request at a replica that has not reported lately would count for as many
         // as there are routers.
         let guessed = own * f64::from(routers.saturating_sub(1)) / count.max(1) as f64;
-        self.usual.own = own / count.max(1) as f64;
-        self.usual.foreign = if trusted > 0.0 { reported / trusted } else { guessed };
+        self.usual.own_requests = own / count.max(1) as f64;
+        self.usual.peer_requests = if trusted > 0.0 { reported / trusted } else { guessed };
         open_count
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Returns what other routers usually have at a replica.
-    pub(super) fn usual(&self) -> &Usual {
+    pub(super) fn usual(&self) -> &AverageLoad {
         &self.usual
     }
 
     fn total_load(&self) -> f64 {
-        self.known + self.unknown * self.usual.foreign
+        self.known + self.unknown * self.usual.peer_requests
     }
 
     /// Returns the mean number of requests at a replica.
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -24,7 +24,7 @@
     /// Requests there.
     total: u32,
     /// Requests that others than this router had there.
-    foreign: u32,
+    peer_requests: u32,
     at: Duration,
     /// When this router heard of it.
     heard_at: Duration,
@@ -34,57 +34,58 @@
 
 /// Requests of other routers at one upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Foreign {
+pub struct PeerLoad {
     /// Their number when the upstream reported.
     pub requests: f64,
     /// How far the report is trusted, from 1 to 0.
-    pub trust: f64,
+    pub weight: f64,
 }
 
 /// What a router knows besides of the load of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct AverageLoad {
     /// Requests that other routers usually have at one of its upstreams.
-    pub foreign: f64,
+    pub peer_requests: f64,
     /// Requests that this router usually has there.
-    pub own: f64,
+    pub own_requests: f64,
     /// Routers that are alive, this one included.
     pub routers: u32,
 }
 
-impl Usual {
+impl AverageLoad {
     /// Guesses the requests of other routers at an upstream where this one has `own`.
     ///
     /// Callers of all routers ask for the same hot keys: more own requests than usual speak for more
     /// of others, as far as so few tell.
     fn guess(&self, own: u32) -> f64 {
-        self.foreign * (1.0 + f64::from(own)) / (1.0 + self.own)
+        self.peer_requests * (1.0 + f64::from(own)) / (1.0 + self.own_requests)
     }
 }
 
 /// Requests at one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    own: u32,
+    own_requests: u32,
     reported: Option<Reported>,
 }
 
 impl Load {
     /// Counts a request of this router.
     pub fn begin(&mut self) {
-        self.own += 1;
+        self.own_requests += 1;
     }
 
     /// Counts the end of a request of this router.
     pub fn end(&mut self) {
-        self.own = self.own.saturating_sub(1);
+        self.own_requests = self.own_requests.saturating_sub(1);
     }
 
     /// Takes a report.
     pub fn report(&mut self, now: Duration, report: LoadReport) {
         let total = report.running + report.waiting;
-        let foreign = total.saturating_sub(self.own);
-        self.reported = Some(Reported { total, foreign, at: now, heard_at: now, is_own: true });
+        let peer_requests = total.saturating_sub(self.own_requests);
+        self.reported =
+            Some(Reported { total, peer_requests, at: now, heard_at: now, is_own: true });
     }
 
     /// Takes what another router heard, unless a later report is known.
@@ -93,8 +94,8 @@
         if self.reported.is_some_and(|known| known.at >= at) {
             return;
         }
-        let foreign = total.saturating_sub(self.own);
-        self.reported = Some(Reported { total, foreign, at, heard_at: now, is_own: false });
+        let peer_requests = total.saturating_sub(self.own_requests);
+        self.reported = Some(Reported { total, peer_requests, at, heard_at: now, is_own: false });
     }
 
     /// Returns the last report with its age, where it was heard after a time; `only_own` leaves out
@@ -111,8 +112,8 @@
     }
 
     /// Returns the requests of this router.
-    pub fn own(&self) -> u32 {
-        self.own
+    pub fn own_requests(&self) -> u32 {
+        self.own_requests
     }
 
     /// Returns the age of the last report, where there was one.
@@ -122,13 +123,13 @@
 
     /// Returns the requests of other routers by the last report, and how far it is trusted in a fleet
     /// of so many routers, from 1 for a new one to 0.
-    pub fn foreign(&self, now: Duration, routers: u32) -> Option<Foreign> {
+    pub fn peer_load(&self, now: Duration, routers: u32) -> Option<PeerLoad> {
         let lifetime = (LIFETIME_PER_ROUTER * routers).clamp(SHORTEST_LIFETIME, LONGEST_LIFETIME);
         let age = self.report_age(now).filter(|age| *age < lifetime)?;
         let part = age.as_secs_f64() / lifetime.as_secs_f64();
         // Most of a report holds for most of its life.
-        let trust = 1.0 - part * part;
-        Some(Foreign { requests: f64::from(self.reported?.foreign), trust })
+        let weight = 1.0 - part * part;
+        Some(PeerLoad { requests: f64::from(self.reported?.peer_requests), weight })
     }
 
     /// Estimates the requests of all routers there.
@@ -137,21 +138,21 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use teaselworks_policy::upstream::{Load, LoadReport, Usual};
+    /// use teaselworks_policy::upstream::{Load, LoadReport, AverageLoad};
     ///
-    /// let usual = Usual { foreign: 4.0, own: 0.6, routers: 8 };
+    /// let usual = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
     /// let mut load = Load::default();
     /// load.begin();
     /// assert_eq!(load.estimate(Duration::ZERO, &usual), 6.0);
     /// load.report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
     /// assert_eq!(load.estimate(Duration::ZERO, &usual), 9.0);
     /// ```
-    pub fn estimate(&self, now: Duration, usual: &Usual) -> f64 {
-        let guess = usual.guess(self.own);
-        let foreign = match self.foreign(now, usual.routers) {
-            Some(Foreign { requests, trust }) => trust * requests + (1.0 - trust) * guess,
+    pub fn estimate(&self, now: Duration, usual: &AverageLoad) -> f64 {
+        let guess = usual.guess(self.own_requests);
+        let foreign = match self.peer_load(now, usual.routers) {
+            Some(PeerLoad { requests, weight }) => weight * requests + (1.0 - weight) * guess,
             None => guess,
         };
-        f64::from(self.own) + foreign
+        f64::from(self.own_requests) + foreign
     }
 }
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -16,7 +16,7 @@
 pub use self::concurrency::ConcurrencyLimit;
 pub use self::connecting::ConnectTimes;
 pub use self::health::{Health, RequestOutcome};
-pub use self::load::{Foreign, Load, LoadReport, Usual};
+pub use self::load::{AverageLoad, Load, LoadReport, PeerLoad};
 pub use self::observations::{
     EjectionChange, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
 };
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -131,7 +131,7 @@
     /// Returns the requests of this router at replicas that may answer; what waits at a replica that
     /// is silent takes no room from others.
     fn in_progress(&self, now: Duration) -> u32 {
-        self.usable(now).map(|member| member.load.own()).sum()
+        self.usable(now).map(|member| member.load.own_requests()).sum()
     }
 
     fn usable(&self, now: Duration) -> impl Iterator<Item = &Member> {
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -5,7 +5,9 @@
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
 use teaselworks_policy::retry::BudgetSettings;
-use teaselworks_policy::upstream::{Change, Load, LoadReport, RequestOutcome, Upstream, Usual};
+use teaselworks_policy::upstream::{
+    AverageLoad, Change, Load, LoadReport, RequestOutcome, Upstream,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -26,7 +28,7 @@
 /// Guards against an older word of another router that takes the place of a later one.
 #[test]
 fn the_later_report_stands() {
-    let usual = Usual { foreign: 0.0, own: 0.0, routers: 70 };
+    let usual = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
     load.report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
     load.hear(11 * SECOND, 9, 2 * SECOND);
@@ -124,7 +126,7 @@
 /// while every router sends it more.
 #[test]
 fn more_own_requests_than_usual_speak_for_more_of_others() {
-    let usual = Usual { foreign: 3.0, own: 0.5, routers: 7 };
+    let usual = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
     let mut load = Load::default();
     let idle = load.estimate(SECOND, &usual);
     load.begin();
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -94,8 +94,11 @@
         let placed = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random).unwrap();
         pool.begin(NOW, &placed.upstream.incarnation());
     }
-    let loads: BTreeMap<_, _> =
-        pool.members().iter().map(|member| (&member.upstream.id, member.load.own())).collect();
+    let loads: BTreeMap<_, _> = pool
+        .members()
+        .iter()
+        .map(|member| (&member.upstream.id, member.load.own_requests()))
+        .collect();
     let most = loads.values().max().unwrap();
     assert!(f64::from(*most) <= 2.0 * 10.0 + 3.0, "{loads:?}");
 }
@@ -300,7 +303,7 @@
     pool.put(restarted(&pool, "i-0"));
     let member = &pool.members()[0];
     assert!(member.health.is_usable(NOW));
-    assert_eq!((member.load.own(), member.load.report_age(NOW)), (0, None));
+    assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (0, None));
 
     let after = incarnation(&pool, "i-0");
     pool.begin(NOW, &after);
@@ -308,7 +311,7 @@
     pool.end(NOW, &before, Some(RequestOutcome::Answered), Duration::from_secs(9));
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     let member = &pool.members()[0];
-    assert_eq!((member.load.own(), member.load.report_age(NOW)), (1, None));
+    assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (1, None));
     assert_eq!((member.mean_time, member.health.failed_share()), (None, 0.0));
 }
 
