--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -190,7 +190,7 @@
         };
         match place(pool, now, demand, &settings, &mut self.random) {
             Ok(placement) => {
-                pool.begin(now, &placement.upstream.incarnation());
+                pool.begin_request(now, &placement.upstream.incarnation());
                 pool.returns.on_placed(now);
                 Ok(placement)
             }
@@ -256,7 +256,9 @@
         outcome: Option<RequestOutcome>,
         held: Duration,
     ) -> bool {
-        self.pools.get_mut(service).is_some_and(|pool| pool.end(now, incarnation, outcome, held))
+        self.pools
+            .get_mut(service)
+            .is_some_and(|pool| pool.end_request(now, incarnation, outcome, held))
     }
 
     /// Returns when a caller whose request replicas turned away should come back.
--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -124,7 +124,7 @@
 
     /// Notes that a request is sent: the first after an ejection is a trial, and no other follows
     /// until it has ended.
-    pub fn begin(&mut self, now: Duration) {
+    pub fn begin_request(&mut self, now: Duration) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
             self.is_on_trial = true;
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -71,12 +71,12 @@
 
 impl Load {
     /// Counts a request of this router.
-    pub fn begin(&mut self) {
+    pub fn begin_request(&mut self) {
         self.own_requests += 1;
     }
 
     /// Counts the end of a request of this router.
-    pub fn end(&mut self) {
+    pub fn end_request(&mut self) {
         self.own_requests = self.own_requests.saturating_sub(1);
     }
 
@@ -142,7 +142,7 @@
     ///
     /// let usual = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
     /// let mut load = Load::default();
-    /// load.begin();
+    /// load.begin_request();
     /// assert_eq!(load.estimate(Duration::ZERO, &usual), 6.0);
     /// load.report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
     /// assert_eq!(load.estimate(Duration::ZERO, &usual), 9.0);
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -174,16 +174,16 @@
     }
 
     /// Counts a request that is sent to a replica.
-    pub fn begin(&mut self, now: Duration, incarnation: &Incarnation) {
+    pub fn begin_request(&mut self, now: Duration, incarnation: &Incarnation) {
         let Some(member) = self.find_incarnation(incarnation) else { return };
-        member.load.begin();
-        member.health.begin(now);
+        member.load.begin_request();
+        member.health.begin_request(now);
     }
 
     /// Counts the end of a request; tells whether the replica is ejected for what became of it.
     ///
     /// What an earlier start of the replica did changes nothing.
-    pub fn end(
+    pub fn end_request(
         &mut self,
         now: Duration,
         incarnation: &Incarnation,
@@ -192,7 +192,7 @@
     ) -> bool {
         let mean_failed_share = self.mean_failed_share();
         let Some(member) = self.find_incarnation(incarnation) else { return false };
-        member.load.end();
+        member.load.end_request();
         match outcome {
             Some(RequestOutcome::Answered | RequestOutcome::ErrorAnswer) => member.reach.see(now),
             Some(RequestOutcome::NoAnswer) => member.reach.fail(now, now.saturating_sub(held)),
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -20,11 +20,11 @@
     for ms in (seconds.start * 1_000..seconds.end * 1_000).step_by(20) {
         let now = Duration::from_millis(ms);
         for _ in 0..in_progress {
-            pool.begin(now, &upstream);
+            pool.begin_request(now, &upstream);
         }
         pool.first_byte(now, waited, 7);
         for _ in 0..in_progress {
-            pool.end(now, &upstream, Some(RequestOutcome::Answered), waited);
+            pool.end_request(now, &upstream, Some(RequestOutcome::Answered), waited);
         }
     }
 }
@@ -33,11 +33,11 @@
     let upstream = Upstream::example("i-0", "plain").incarnation();
     let mut count = 0;
     while count < 100 && !pool.is_saturated(Duration::ZERO, false) {
-        pool.begin(Duration::ZERO, &upstream);
+        pool.begin_request(Duration::ZERO, &upstream);
         count += 1;
     }
     for _ in 0..count {
-        pool.end(Duration::ZERO, &upstream, None, Duration::ZERO);
+        pool.end_request(Duration::ZERO, &upstream, None, Duration::ZERO);
     }
     count
 }
@@ -83,7 +83,7 @@
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-0", "plain").incarnation();
     for _ in 0..30 {
-        pool.begin(now, &upstream);
+        pool.begin_request(now, &upstream);
     }
     assert!(pool.is_saturated(now, true));
     assert!(!pool.is_saturated(now, false), "slots are free");
@@ -98,11 +98,11 @@
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-1", "plain").incarnation();
     for _ in 0..40 {
-        pool.begin(now, &upstream);
+        pool.begin_request(now, &upstream);
     }
     assert!(pool.is_saturated(now, true));
     for _ in 0..2 {
-        pool.end(now, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
+        pool.end_request(now, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
     }
     assert!(!pool.is_saturated(now, true));
 }
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -21,7 +21,7 @@
     assert!(broken(&mut health, SECOND, 2));
     assert!(!health.is_usable(SECOND + SECOND / 2));
     assert!(health.is_usable(2 * SECOND));
-    health.begin(2 * SECOND);
+    health.begin_request(2 * SECOND);
     assert!(!health.is_usable(2 * SECOND), "the trial is under way");
     assert!(health.observe(2 * SECOND, RequestOutcome::NoAnswer, 0.0), "the trial failed");
     assert!(!health.is_usable(3 * SECOND), "the second ejection is longer");
@@ -33,7 +33,7 @@
 fn a_cancelled_trial_is_made_again() {
     let mut health = Health::default();
     broken(&mut health, SECOND, 2);
-    health.begin(2 * SECOND);
+    health.begin_request(2 * SECOND);
     health.forget_trial();
     assert!(health.is_usable(2 * SECOND));
 }
@@ -83,8 +83,8 @@
     for ejected in 1..=4 {
         let upstream = Upstream::example(&format!("i-{}", ejected - 1), "chat").incarnation();
         for _ in 0..2 {
-            pool.begin(SECOND, &upstream);
-            pool.end(SECOND, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
+            pool.begin_request(SECOND, &upstream);
+            pool.end_request(SECOND, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
         }
         let left = chosen(&pool);
         assert_eq!(left, if ejected <= 2 { 4 - ejected } else { 4 }, "{ejected} ejected");
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -129,8 +129,8 @@
     let usual = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
     let mut load = Load::default();
     let idle = load.estimate(SECOND, &usual);
-    load.begin();
-    load.begin();
+    load.begin_request();
+    load.begin_request();
     let busy = load.estimate(SECOND, &usual);
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
     load.report(SECOND, LoadReport { running: 3, waiting: 0 });
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -92,7 +92,7 @@
     for number in 0..60_u64 {
         let prompt = if number % 2 == 0 { hot.clone() } else { prompt(number + 100) };
         let placed = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random).unwrap();
-        pool.begin(NOW, &placed.upstream.incarnation());
+        pool.begin_request(NOW, &placed.upstream.incarnation());
     }
     let loads: BTreeMap<_, _> = pool
         .members()
@@ -110,7 +110,7 @@
     let prompt = prompt(10);
     let settings = PlacementSettings { routers: 8, ..SETTINGS };
     let home = place(&pool, NOW, &demand(Some(&prompt)), &settings, &mut random()).unwrap();
-    pool.begin(NOW, &home.upstream.incarnation());
+    pool.begin_request(NOW, &home.upstream.incarnation());
     for number in 0..6 {
         let id = format!("i-{number}");
         if *id != *home.upstream.id {
@@ -132,7 +132,7 @@
     for id in ["i-0", "i-2"] {
         let upstream = incarnation(&pool, id);
         for _ in 0..3 {
-            pool.begin(NOW, &upstream);
+            pool.begin_request(NOW, &upstream);
         }
     }
     let next = place(&pool, NOW, &demand(None), &SETTINGS, &mut random).unwrap();
@@ -144,8 +144,13 @@
     pool.set_target(Some(Duration::from_millis(300)));
     for number in 0..4 {
         let upstream = incarnation(&pool, &format!("i-{number}"));
-        pool.begin(NOW, &upstream);
-        pool.end(NOW, &upstream, Some(RequestOutcome::Answered), Duration::from_millis(900));
+        pool.begin_request(NOW, &upstream);
+        pool.end_request(
+            NOW,
+            &upstream,
+            Some(RequestOutcome::Answered),
+            Duration::from_millis(900),
+        );
         let waiting = if prompts { number } else { 4 };
         pool.report(NOW, &upstream, LoadReport { running: 4, waiting });
     }
@@ -169,7 +174,7 @@
     pool.set_target(Some(Duration::from_millis(300)));
     let upstream = incarnation(&pool, "i-0");
     for _ in 0..30 {
-        pool.begin(NOW, &upstream);
+        pool.begin_request(NOW, &upstream);
         pool.first_byte(NOW, Duration::from_secs(2), 7);
     }
     let prompt = prompt(10);
@@ -189,8 +194,13 @@
         order.sort_by_key(|id| std::cmp::Reverse(score(key, identity(id))));
         for (rank, id) in order.iter().enumerate() {
             let upstream = incarnation(&pool, id);
-            pool.begin(NOW, &upstream);
-            pool.end(NOW, &upstream, Some(RequestOutcome::Answered), Duration::from_millis(900));
+            pool.begin_request(NOW, &upstream);
+            pool.end_request(
+                NOW,
+                &upstream,
+                Some(RequestOutcome::Answered),
+                Duration::from_millis(900),
+            );
             let running = if rank < 5 { 4 } else { 1 };
             pool.report(NOW, &upstream, LoadReport { running, waiting: 0 });
         }
@@ -270,7 +280,7 @@
         assert_ne!(second, home.upstream.address);
 
         for _ in 0..30 {
-            pool.begin(NOW, &home.upstream.incarnation());
+            pool.begin_request(NOW, &home.upstream.incarnation());
         }
         let spilled = place(&pool);
         assert_eq!(spilled.upstream.address, second, "the second of the order takes over");
@@ -296,19 +306,19 @@
     let before = incarnation(&pool, "i-0");
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     for _ in 0..2 {
-        pool.begin(NOW, &before);
-        pool.end(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO);
+        pool.begin_request(NOW, &before);
+        pool.end_request(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO);
     }
-    pool.begin(NOW, &before);
+    pool.begin_request(NOW, &before);
     pool.put(restarted(&pool, "i-0"));
     let member = &pool.members()[0];
     assert!(member.health.is_usable(NOW));
     assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (0, None));
 
     let after = incarnation(&pool, "i-0");
-    pool.begin(NOW, &after);
-    assert!(!pool.end(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO));
-    pool.end(NOW, &before, Some(RequestOutcome::Answered), Duration::from_secs(9));
+    pool.begin_request(NOW, &after);
+    assert!(!pool.end_request(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO));
+    pool.end_request(NOW, &before, Some(RequestOutcome::Answered), Duration::from_secs(9));
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     let member = &pool.members()[0];
     assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (1, None));
@@ -329,16 +339,16 @@
         let place = |pool: &Pool| place_key(pool, key);
         let home = place(&pool).upstream;
         for _ in 0..30 {
-            pool.begin(NOW, &home.incarnation());
+            pool.begin_request(NOW, &home.incarnation());
         }
         assert_eq!(place(&pool).holder, Some(home.address));
         pool.put(restarted(&pool, &home.id));
         let after = incarnation(&pool, &home.id);
         for _ in 0..30 {
-            pool.begin(NOW, &after);
+            pool.begin_request(NOW, &after);
         }
         assert_ne!(place(&pool).holder, Some(home.address));
-        pool.end(NOW, &after, Some(RequestOutcome::Answered), Duration::from_millis(500));
+        pool.end_request(NOW, &after, Some(RequestOutcome::Answered), Duration::from_millis(500));
         assert_eq!(place(&pool).holder, Some(home.address));
     }
 }
