--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -244,7 +244,7 @@
             return Vec::new();
         }
         let heard = ObservationIndex::from(observations);
-        self.pools.values_mut().flat_map(|pool| pool.hear(now, &heard)).collect()
+        self.pools.values_mut().flat_map(|pool| pool.apply_observations(now, &heard)).collect()
     }
 
     /// Takes a request off a replica that held it for a time; tells whether the replica is ejected.
@@ -273,7 +273,7 @@
     pub fn first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
         let routers = self.membership.live();
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.first_byte(now, waited, routers);
+            pool.on_first_byte(now, waited, routers);
         }
     }
 }
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -89,7 +89,7 @@
     }
 
     /// Takes what another router heard, unless a later report is known.
-    pub fn hear(&mut self, now: Duration, total: u32, age: Duration) {
+    pub fn apply_shared_load(&mut self, now: Duration, total: u32, age: Duration) {
         let at = now.saturating_sub(age);
         if self.reported.is_some_and(|known| known.at >= at) {
             return;
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -140,7 +140,7 @@
 
     /// Takes how long a request waited for the first byte of its answer, in a fleet of so many
     /// routers.
-    pub fn first_byte(&mut self, now: Duration, waited: Duration, routers: u32) {
+    pub fn on_first_byte(&mut self, now: Duration, waited: Duration, routers: u32) {
         let Some(target) = self.target else { return };
         let slots: u32 = self.usable(now).map(|member| member.upstream.slots).sum();
         let held_per_slot = if self.reports_load { HELD_PER_SLOT } else { UNREPORTED_PER_SLOT };
@@ -235,13 +235,17 @@
     }
 
     /// Takes what another router heard; returns the replicas that are ejected or in use again for it.
-    pub fn hear(&mut self, now: Duration, heard: &ObservationIndex) -> Vec<EjectionChange> {
+    pub fn apply_observations(
+        &mut self,
+        now: Duration,
+        heard: &ObservationIndex,
+    ) -> Vec<EjectionChange> {
         let mut changes = Vec::new();
         for member in &mut self.members {
             let hash = member.incarnation_hash();
             if let Some(load) = heard.loads.get(&hash) {
                 self.reports_load = true;
-                member.load.hear(now, load.total, load.age);
+                member.load.apply_shared_load(now, load.total, load.age);
                 member.reach.see(now.saturating_sub(load.age));
             }
             let is_silent =
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -22,7 +22,7 @@
         for _ in 0..in_progress {
             pool.begin_request(now, &upstream);
         }
-        pool.first_byte(now, waited, 7);
+        pool.on_first_byte(now, waited, 7);
         for _ in 0..in_progress {
             pool.end_request(now, &upstream, Some(RequestOutcome::Answered), waited);
         }
@@ -68,7 +68,7 @@
     let mut pool = pool();
     press(&mut pool, 1..2, 3, Duration::from_millis(60));
     press(&mut pool, 2..3, 1, Duration::from_millis(60));
-    pool.first_byte(Duration::from_secs(3), Duration::from_millis(450), 7);
+    pool.on_first_byte(Duration::from_secs(3), Duration::from_millis(450), 7);
     assert_eq!(allowed(&mut pool), 100);
 }
 
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -31,9 +31,9 @@
     let usual = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
     load.report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
-    load.hear(11 * SECOND, 9, 2 * SECOND);
+    load.apply_shared_load(11 * SECOND, 9, 2 * SECOND);
     assert_eq!(load.estimate(11 * SECOND, &usual).round(), 5.0);
-    load.hear(12 * SECOND, 9, SECOND / 2);
+    load.apply_shared_load(12 * SECOND, 9, SECOND / 2);
     assert_eq!(load.report_age(12 * SECOND), Some(SECOND / 2));
     assert_eq!(load.estimate(12 * SECOND, &usual).round(), 9.0);
 }
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -175,7 +175,7 @@
     let upstream = incarnation(&pool, "i-0");
     for _ in 0..30 {
         pool.begin_request(NOW, &upstream);
-        pool.first_byte(NOW, Duration::from_secs(2), 7);
+        pool.on_first_byte(NOW, Duration::from_secs(2), 7);
     }
     let prompt = prompt(10);
     let place = |demand: &Demand<'_>| place(&pool, NOW, demand, &SETTINGS, &mut random());
