--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -62,7 +62,7 @@
     if ahead <= 0.0 || !is_known(member, now, settings) {
         return None;
     }
-    Some(member.mean_time?.mul_f64(ahead / slots))
+    Some(member.mean_request_time?.mul_f64(ahead / slots))
 }
 
 /// Tells whether a report is known: without one the load is a guess from few requests, too coarse to
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -103,7 +103,7 @@
         for member in self.pool.members() {
             let score = self.key.map_or(0, |key| score(key, member.identity));
             let is_usable = member.health.is_usable(self.now);
-            if is_usable && self.key.is_some() && !member.is_blank && !member.is_suspended {
+            if is_usable && self.key.is_some() && !member.has_empty_cache && !member.is_suspended {
                 self.lenders.add(score, member);
             }
             if !is_open(member, self.tried) {
--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -34,11 +34,11 @@
     is_on_trial: bool,
     /// Other routers' failures ejected it.
     is_by_word: bool,
-    failed_share: f64,
+    failure_rate: f64,
 }
 
 impl Health {
-    /// Takes what became of a request; `mean_failed_share` is that of the whole service. Tells
+    /// Takes what became of a request; `mean_failure_rate` is that of the whole service. Tells
     /// whether the upstream is ejected now that was not before.
     ///
     /// ```
@@ -55,10 +55,10 @@
         &mut self,
         now: Duration,
         outcome: RequestOutcome,
-        mean_failed_share: f64,
+        mean_failure_rate: f64,
     ) -> bool {
         let failed = if outcome == RequestOutcome::Answered { 0.0 } else { 1.0 };
-        self.failed_share += LATEST_WEIGHT * (failed - self.failed_share);
+        self.failure_rate += LATEST_WEIGHT * (failed - self.failure_rate);
         self.broken_in_a_row = match outcome {
             RequestOutcome::NoAnswer => self.broken_in_a_row + 1,
             RequestOutcome::Answered | RequestOutcome::ErrorAnswer => 0,
@@ -67,12 +67,12 @@
         if outcome == RequestOutcome::Answered {
             self.is_by_word = false;
             if was_on_trial {
-                self.failed_share = mean_failed_share;
+                self.failure_rate = mean_failure_rate;
                 self.ejections = 0;
             }
             return false;
         }
-        let is_grey = self.failed_share > mean_failed_share + EXCESS_FAILURES;
+        let is_grey = self.failure_rate > mean_failure_rate + EXCESS_FAILURES;
         let is_broken = self.broken_in_a_row >= FAILURES_TO_EJECT;
         let failed_trial = was_on_trial && outcome == RequestOutcome::NoAnswer;
         if !(is_grey || is_broken || failed_trial) || self.is_ejected(now) {
@@ -142,8 +142,8 @@
     }
 
     /// Returns the running share of requests that failed.
-    pub fn failed_share(&self) -> f64 {
-        self.failed_share
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
     fn is_ejected(&self, now: Duration) -> bool {
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -33,17 +33,17 @@
     /// Failures that routers met since it was last heard of.
     pub reach: Reach,
     /// Running mean of the time that it holds a request.
-    pub mean_time: Option<Duration>,
+    pub mean_request_time: Option<Duration>,
     /// It leaves soon and takes no new requests.
     pub is_draining: bool,
     /// Its entry cannot be read at the moment; it takes no new requests.
     pub is_suspended: bool,
     /// It started again and has answered nothing since: it keeps no prompts.
-    pub is_blank: bool,
+    pub has_empty_cache: bool,
 }
 
 impl Member {
-    fn new(upstream: Upstream, is_blank: bool) -> Self {
+    fn new(upstream: Upstream, has_empty_cache: bool) -> Self {
         Self {
             identity: identity(&upstream.id),
             is_draining: upstream.is_draining,
@@ -51,9 +51,9 @@
             load: Load::default(),
             health: Health::default(),
             reach: Reach::default(),
-            mean_time: None,
+            mean_request_time: None,
             is_suspended: false,
-            is_blank,
+            has_empty_cache,
         }
     }
 }
@@ -190,7 +190,7 @@
         outcome: Option<RequestOutcome>,
         held: Duration,
     ) -> bool {
-        let mean_failed_share = self.mean_failed_share();
+        let mean_failure_rate = self.mean_failure_rate();
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
@@ -199,13 +199,13 @@
             None => {}
         }
         if outcome == Some(RequestOutcome::Answered) {
-            member.is_blank = false;
-            let mean = member.mean_time.unwrap_or(held).as_secs_f64();
+            member.has_empty_cache = false;
+            let mean = member.mean_request_time.unwrap_or(held).as_secs_f64();
             let mean = mean + LATEST_WEIGHT * (held.as_secs_f64() - mean);
-            member.mean_time = Some(Duration::from_secs_f64(mean));
+            member.mean_request_time = Some(Duration::from_secs_f64(mean));
         }
         match outcome {
-            Some(outcome) => member.health.observe(now, outcome, mean_failed_share),
+            Some(outcome) => member.health.observe(now, outcome, mean_failure_rate),
             None => {
                 member.health.forget_trial();
                 false
@@ -282,8 +282,8 @@
         self.members.iter_mut().find(|member| member.upstream.is(incarnation))
     }
 
-    fn mean_failed_share(&self) -> f64 {
-        let total: f64 = self.members.iter().map(|member| member.health.failed_share()).sum();
+    fn mean_failure_rate(&self) -> f64 {
+        let total: f64 = self.members.iter().map(|member| member.health.failure_rate()).sum();
         total / self.members.len().max(1) as f64
     }
 }
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -322,7 +322,7 @@
     pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     let member = &pool.members()[0];
     assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (1, None));
-    assert_eq!((member.mean_time, member.health.failed_share()), (None, 0.0));
+    assert_eq!((member.mean_request_time, member.health.failure_rate()), (None, 0.0));
 }
 
 /// Places a request with a key.
