--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use teaselworks_policy::configuration::Configuration;
-use teaselworks_policy::upstream::{Change, Listed, Registry, SharedObservations};
+use teaselworks_policy::upstream::{Change, ListEntry, Registry, SharedObservations};
 
 use super::{News, StoreCache};
 use crate::event;
@@ -102,10 +102,10 @@
                 Ok(Belief::Configuration(configuration)) => {
                     self.on_configuration(*configuration, item.revision, source);
                 }
-                Ok(Belief::Upstream(upstream)) => upstreams.push(Listed::Upstream(upstream)),
+                Ok(Belief::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
                 Ok(Belief::Router(name, address)) => routers.push((name, address)),
                 Ok(Belief::Other) => {}
-                Err(Subject::Upstream(id)) => upstreams.push(Listed::Unreadable(id.into())),
+                Err(Subject::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
                 Err(Subject::Router(_) | Subject::Configuration | Subject::Other) => {}
             }
         }
@@ -149,7 +149,7 @@
 
     /// Drops what has been missing for too long.
     pub fn expire(&self) {
-        if !self.registry().awaits() {
+        if !self.registry().has_missing_entries() {
             return;
         }
         let changes = self.registry().expire(self.shared.now());
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -22,7 +22,7 @@
 };
 pub use self::pool::{Member, Pool};
 pub use self::reach::Reach;
-pub use self::registry::{Change, Listed, Registry};
+pub use self::registry::{Change, ListEntry, Registry};
 
 /// One start of a replica. Two starts may have the same identifier and address.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
--- a/teaselworks_policy/src/upstream/registry.rs
+++ b/teaselworks_policy/src/upstream/registry.rs
@@ -16,18 +16,18 @@
 
 /// What an entry of the list says.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Listed {
+pub enum ListEntry {
     /// A replica.
     Upstream(Upstream),
     /// Nothing that can be understood, under this identifier.
     Unreadable(Arc<str>),
 }
 
-impl Listed {
+impl ListEntry {
     fn id(&self) -> &Arc<str> {
         match self {
-            Listed::Upstream(upstream) => &upstream.id,
-            Listed::Unreadable(id) => id,
+            ListEntry::Upstream(upstream) => &upstream.id,
+            ListEntry::Unreadable(id) => id,
         }
     }
 }
@@ -170,7 +170,7 @@
     }
 
     /// Replaces the list by one that was read whole.
-    pub fn replace(&mut self, now: Duration, list: Vec<Listed>) -> Vec<Change> {
+    pub fn replace(&mut self, now: Duration, list: Vec<ListEntry>) -> Vec<Change> {
         let mut changes = Vec::new();
         let listed: HashSet<Arc<str>> = list.iter().map(|listed| listed.id().clone()).collect();
         let known: Vec<Arc<str>> = self.entries.keys().cloned().collect();
@@ -181,8 +181,8 @@
         }
         for listed in list {
             changes.extend(match listed {
-                Listed::Upstream(upstream) => self.put(upstream),
-                Listed::Unreadable(id) => self.suspend(&id),
+                ListEntry::Upstream(upstream) => self.put(upstream),
+                ListEntry::Unreadable(id) => self.suspend(&id),
             });
         }
         changes
@@ -204,7 +204,7 @@
     }
 
     /// Tells whether an entry is missing that will count as gone after a while.
-    pub fn awaits(&self) -> bool {
+    pub fn has_missing_entries(&self) -> bool {
         self.entries.values().any(|entry| entry.missing_until.is_some())
     }
 
--- a/teaselworks_policy/tests/registry.rs
+++ b/teaselworks_policy/tests/registry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use teaselworks_policy::upstream::{Change, Listed, Registry, Upstream};
+use teaselworks_policy::upstream::{Change, ListEntry, Registry, Upstream};
 
 fn upstream(id: &str) -> Upstream {
     Upstream::example(id, "chat")
@@ -99,7 +99,7 @@
     let mut registry = Registry::new();
     let known = started("i-1", 2_000);
     registry.put(known.clone());
-    let list = vec![Listed::Upstream(started("i-1", 1_000))];
+    let list = vec![ListEntry::Upstream(started("i-1", 1_000))];
     assert_eq!(registry.replace(seconds(1.0), list), [Change::Stale("i-1".into())]);
     assert_eq!(registry.upstreams().collect::<Vec<_>>(), [&known]);
 }
@@ -110,7 +110,7 @@
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.put(upstream("i-2"));
-    let list = || vec![Listed::Unreadable("i-1".into()), Listed::Upstream(upstream("i-2"))];
+    let list = || vec![ListEntry::Unreadable("i-1".into()), ListEntry::Upstream(upstream("i-2"))];
     assert_eq!(registry.replace(seconds(1.0), list()), [Change::Suspended("i-1".into())]);
     assert_eq!(registry.replace(seconds(2.0), list()), []);
     assert_eq!(registry.put(upstream("i-1")), Some(Change::Serving(upstream("i-1"))));
