--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -78,7 +78,7 @@
 
     async fn open(&self, incarnation: &Incarnation) -> io::Result<Connection> {
         let began = self.shared.now();
-        let longest = self.shared.fleet().connect_times.longest();
+        let longest = self.shared.fleet().connect_times.timeout();
         let opened = self.shared.connections.open(incarnation, longest).await;
         let took = self.shared.now().saturating_sub(began);
         match &opened {
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -186,7 +186,7 @@
         let way = self.way();
         let connect_times = &mut self.routers[router].connect_times;
         if self.dark[engine] {
-            let wait = connect_times.longest();
+            let wait = connect_times.timeout();
             connect_times.on_timeout();
             return self.schedule(wait, Event::Unreachable(call));
         }
--- a/teaselworks_policy/src/upstream/connecting.rs
+++ b/teaselworks_policy/src/upstream/connecting.rs
@@ -31,9 +31,9 @@
     /// use teaselworks_policy::upstream::ConnectTimes;
     ///
     /// let mut times = ConnectTimes::default();
-    /// let longest = times.longest();
+    /// let longest = times.timeout();
     /// times.on_opened(Duration::from_millis(2));
-    /// assert!(times.longest() < longest);
+    /// assert!(times.timeout() < longest);
     /// ```
     pub fn on_opened(&mut self, took: Duration) {
         let mean = self.mean.unwrap_or(took).as_secs_f64();
@@ -48,7 +48,7 @@
     }
 
     /// Returns the longest wait for a connection.
-    pub fn longest(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         if self.failed_in_a_row >= FAILURES_OF_LINK {
             return LONGEST;
         }
--- a/teaselworks_policy/tests/connecting.rs
+++ b/teaselworks_policy/tests/connecting.rs
@@ -15,8 +15,8 @@
 /// Guards against requests that wait at a dark replica for longer than their callers aim at.
 #[test]
 fn a_dark_replica_is_left_soon_where_connections_are_quick() {
-    assert_eq!(times(2).longest(), Duration::from_millis(100));
-    assert_eq!(times(60).longest(), Duration::from_millis(400));
+    assert_eq!(times(2).timeout(), Duration::from_millis(100));
+    assert_eq!(times(60).timeout(), Duration::from_millis(400));
 }
 
 /// Guards against a router whose own link turned slow and that gives up every connection.
@@ -24,13 +24,13 @@
 fn nothing_but_failures_lengthens_the_wait_until_a_connection_is_open() {
     let mut times = times(2);
     for _ in 0..4 {
-        assert_eq!(times.longest(), Duration::from_millis(100));
+        assert_eq!(times.timeout(), Duration::from_millis(100));
         times.on_timeout();
     }
-    assert_eq!(times.longest(), Duration::from_millis(400));
+    assert_eq!(times.timeout(), Duration::from_millis(400));
     times.on_opened(Duration::from_millis(300));
     assert!(
-        times.longest() > Duration::from_millis(300),
+        times.timeout() > Duration::from_millis(300),
         "links that are slow stay so for a while"
     );
 }
