--- a/teaselworks_policy/src/upstream/concurrency.rs
+++ b/teaselworks_policy/src/upstream/concurrency.rs
@@ -1,30 +1,38 @@
-//! How many requests a router keeps at a service that says nothing of its load.
+//! Limit on the requests that a router has in progress at a service.
 //!
-//! Answers load that presses on replicas beyond what they finish in time: their queues then hold
-//! more than callers wait for, and every answer is late.
+//! When load exceeds what the replicas finish in time, their queues grow until every answer is
+//! late. The limit bounds these queues. It needs only the time that requests wait for an answer, so
+//! it also works for services that do not report their load.
 
 use std::time::Duration;
 
-/// Weight of the latest answer in the running mean of waits.
+/// Weight of the latest answer in the exponential moving average of waits.
 const LATEST_WEIGHT: f64 = 0.2;
-/// Part of what callers aim at that the mean wait may take, so that most answers are in time.
+/// Fraction of the target latency that the average wait may take. Waits vary around the average, so
+/// the rest is headroom that lets most answers be in time.
 const TARGET_SHARE: f64 = 0.6;
-/// Part that is left of the limit when answers are late.
-const DECREASE: f64 = 0.9;
+/// Factor by which the limit is multiplied when answers are late.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// Limit on the requests of this router at one service: it grows by one with the answers to as many
-/// requests as it allows, and shrinks while answers take too long.
+/// Adaptive limit on the requests that this router has in progress at one service.
+///
+/// While answers are in time, the limit grows by one each time that as many requests as it allows
+/// have been answered. While they are late, it shrinks by a constant factor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// `None` while no answer was late.
+    /// Maximum number of requests in progress; `None` (no limit) until answers are late.
     limit: Option<f64>,
+    /// Exponential moving average of the waits; `None` before the first answer.
     mean_wait_s: Option<f64>,
-    lowered_at: Duration,
+    /// Clock reading at the last decrease of the limit.
+    decreased_at: Duration,
 }
 
 impl ConcurrencyLimit {
-    /// Takes how long a request waited for the first byte of its answer, with so many requests in
-    /// progress; the limit never falls below `least`.
+    /// Records that a request waited for the first byte of its answer for the time `waited`, while
+    /// `in_progress` requests were at the service.
+    ///
+    /// `target` is the target latency of the service. The limit never falls below `min_limit`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -43,7 +51,7 @@
         waited: Duration,
         target: Duration,
         in_progress: u32,
-        least: f64,
+        min_limit: f64,
     ) {
         let waited_s = waited.as_secs_f64();
         let mean = self.mean_wait_s.unwrap_or(waited_s);
@@ -53,17 +61,18 @@
             self.limit = self.limit.map(|limit| limit + 1.0 / limit.max(1.0));
             return;
         }
-        // What an earlier decrease brought shows only in requests that were sent after it.
-        if now.saturating_sub(self.lowered_at) < waited {
+        // A request that was sent before the last decrease does not show the effect of the
+        // decrease.
+        if now.saturating_sub(self.decreased_at) < waited {
             return;
         }
-        self.lowered_at = now;
+        self.decreased_at = now;
         let in_progress = f64::from(in_progress);
-        let limit = self.limit.unwrap_or(in_progress).min(in_progress) * DECREASE;
-        self.limit = Some(limit.max(least).max(1.0));
+        let limit = self.limit.unwrap_or(in_progress).min(in_progress) * DECREASE_FACTOR;
+        self.limit = Some(limit.max(min_limit).max(1.0));
     }
 
-    /// Tells whether another request may be sent beside so many in progress.
+    /// Returns whether another request may be sent while `in_progress` requests are in progress.
     pub fn allows(&self, in_progress: u32) -> bool {
         self.limit.is_none_or(|limit| f64::from(in_progress) + 1.0 <= limit)
     }
