--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -1,45 +1,52 @@
-//! Whether an upstream should get requests, from what became of earlier ones.
+//! Passive health checks: an upstream whose requests fail is ejected, which means that it gets no
+//! requests for a while, and is then probed with a single request.
 
 use std::time::Duration;
 
-/// Failures to connect or to be answered in a row that eject an upstream. One may be a lost packet
-/// or a reused connection that was just being closed.
+/// Consecutive requests without an answer that eject an upstream. A single one may be due to a lost
+/// packet or to a reused connection that the upstream was closing.
 const FAILURES_TO_EJECT: u32 = 2;
-/// Time without requests after the first ejection; it doubles with each that follows.
-const FIRST_EJECTION: Duration = Duration::from_secs(1);
-/// Longest time without requests: an upstream that is back is found within it.
-const LONGEST_EJECTION: Duration = Duration::from_secs(8);
-/// Weight of the latest answer in the running share of failed answers.
+/// Duration of the first ejection; it doubles with each further one.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
+/// Maximum duration of an ejection: a recovered upstream is probed within this time.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(8);
+/// Weight of the latest request in the exponential moving average of the failure rate.
 const LATEST_WEIGHT: f64 = 0.1;
-/// Share of failed answers, beyond the mean of the service, that ejects an upstream.
-const EXCESS_FAILURES: f64 = 0.3;
+/// Difference between the failure rates of an upstream and of its service above which the upstream
+/// is ejected.
+const EXCESS_FAILURE_RATE: f64 = 0.3;
 
-/// What became of a request at an upstream.
+/// How a request to an upstream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// It answered.
+    /// The upstream answered the request.
     Answered,
-    /// It answered that it failed.
+    /// The upstream answered with an error or rejected the request.
     ErrorAnswer,
-    /// It could not be reached, broke off, was silent, or sent what was no answer to the request.
+    /// No valid answer was received: the upstream could not be reached, closed the connection
+    /// early, did not respond, or sent something that is not an answer to the request.
     NoAnswer,
 }
 
 /// Health of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    broken_in_a_row: u32,
+    consecutive_unanswered: u32,
+    /// Ejections since a probe was last answered, or since other routers last ended an ejection.
     ejections: u32,
     ejected_until: Option<Duration>,
-    is_on_trial: bool,
-    /// Other routers' failures ejected it.
-    is_by_word: bool,
+    /// Whether the single request that follows an ejection is in progress.
+    is_probing: bool,
+    /// Whether failures that other routers reported caused the last ejection.
+    is_ejected_by_peers: bool,
+    /// Exponential moving average of the fraction of requests that failed.
     failure_rate: f64,
 }
 
 impl Health {
-    /// Takes what became of a request; `mean_failure_rate` is that of the whole service. Tells
-    /// whether the upstream is ejected now that was not before.
+    /// Records how a request ended. Returns true if this ejects the upstream.
+    ///
+    /// `mean_failure_rate` is the mean of the failure rates of all replicas of the service.
     ///
     /// ```
     /// use std::time::Duration;
@@ -59,89 +66,92 @@
     ) -> bool {
         let failed = if outcome == RequestOutcome::Answered { 0.0 } else { 1.0 };
         self.failure_rate += LATEST_WEIGHT * (failed - self.failure_rate);
-        self.broken_in_a_row = match outcome {
-            RequestOutcome::NoAnswer => self.broken_in_a_row + 1,
+        self.consecutive_unanswered = match outcome {
+            RequestOutcome::NoAnswer => self.consecutive_unanswered + 1,
             RequestOutcome::Answered | RequestOutcome::ErrorAnswer => 0,
         };
-        let was_on_trial = std::mem::take(&mut self.is_on_trial);
+        let was_probing = std::mem::take(&mut self.is_probing);
         if outcome == RequestOutcome::Answered {
-            self.is_by_word = false;
-            if was_on_trial {
+            self.is_ejected_by_peers = false;
+            if was_probing {
                 self.failure_rate = mean_failure_rate;
                 self.ejections = 0;
             }
             return false;
         }
-        let is_grey = self.failure_rate > mean_failure_rate + EXCESS_FAILURES;
-        let is_broken = self.broken_in_a_row >= FAILURES_TO_EJECT;
-        let failed_trial = was_on_trial && outcome == RequestOutcome::NoAnswer;
-        if !(is_grey || is_broken || failed_trial) || self.is_ejected(now) {
+        let is_outlier = self.failure_rate > mean_failure_rate + EXCESS_FAILURE_RATE;
+        let is_unresponsive = self.consecutive_unanswered >= FAILURES_TO_EJECT;
+        let has_failed_probe = was_probing && outcome == RequestOutcome::NoAnswer;
+        if !(is_outlier || is_unresponsive || has_failed_probe) || self.is_ejected(now) {
             return false;
         }
-        self.is_by_word = false;
+        self.is_ejected_by_peers = false;
         self.eject(now);
         true
     }
 
-    /// Ejects the upstream for failures that other routers met; false where it is not in use already.
+    /// Ejects the upstream because of failures that other routers reported. Returns false if it is
+    /// already ejected or being probed.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks_policy::upstream::Health;
     ///
     /// let mut health = Health::default();
-    /// assert!(health.eject_by_word(Duration::ZERO));
+    /// assert!(health.eject_for_peer_failures(Duration::ZERO));
     /// assert!(!health.is_usable(Duration::ZERO));
     /// assert!(health.readmit());
     /// assert!(health.is_usable(Duration::ZERO));
     /// ```
-    pub fn eject_by_word(&mut self, now: Duration) -> bool {
+    pub fn eject_for_peer_failures(&mut self, now: Duration) -> bool {
         if !self.is_usable(now) {
             return false;
         }
-        self.is_by_word = true;
+        self.is_ejected_by_peers = true;
         self.eject(now);
         true
     }
 
-    /// Takes back an ejection for other routers' failures, since one of them was answered; false
-    /// where there was none.
+    /// Ends an ejection that failures of other routers caused, because the upstream has responded
+    /// to a router since. Returns false if there was no such ejection.
     pub fn readmit(&mut self) -> bool {
-        if !std::mem::take(&mut self.is_by_word) {
+        if !std::mem::take(&mut self.is_ejected_by_peers) {
             return false;
         }
         self.ejected_until = None;
-        self.is_on_trial = false;
+        self.is_probing = false;
         self.ejections = 0;
         true
     }
 
     fn eject(&mut self, now: Duration) {
-        let time = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(8)).min(LONGEST_EJECTION);
+        let time =
+            BASE_EJECTION_TIME.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION_TIME);
         self.ejections += 1;
         self.ejected_until = Some(now + time);
     }
 
-    /// Notes that a request is sent: the first after an ejection is a trial, and no other follows
-    /// until it has ended.
+    /// Records that a request is sent. The first request after an ejection is a probe: no other one
+    /// is sent until it has ended.
     pub fn begin_request(&mut self, now: Duration) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
-            self.is_on_trial = true;
+            self.is_probing = true;
         }
     }
 
-    /// Notes that a request ended of which nothing was learnt: a trial is made again.
-    pub fn forget_trial(&mut self) {
-        self.is_on_trial = false;
+    /// Records that a request ended without telling anything about the health of the upstream, for
+    /// instance because the caller left. If it was a probe, the upstream becomes usable again.
+    pub fn cancel_probe(&mut self) {
+        self.is_probing = false;
     }
 
-    /// Tells whether requests may be sent.
+    /// Returns whether requests may be sent to the upstream.
     pub fn is_usable(&self, now: Duration) -> bool {
-        !self.is_on_trial && !self.is_ejected(now)
+        !self.is_probing && !self.is_ejected(now)
     }
 
-    /// Returns the running share of requests that failed.
+    /// Returns the exponential moving average of the fraction of requests that failed, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -207,7 +207,7 @@
         match outcome {
             Some(outcome) => member.health.observe(now, outcome, mean_failure_rate),
             None => {
-                member.health.forget_trial();
+                member.health.cancel_probe();
                 false
             }
         }
@@ -251,7 +251,7 @@
             let is_silent =
                 heard.failures.get(&hash).is_some_and(|told| member.reach.hear(now, told));
             let has_changed = if is_silent {
-                member.health.eject_by_word(now)
+                member.health.eject_for_peer_failures(now)
             } else {
                 member.reach.has_no_failure() && member.health.readmit()
             };
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -34,7 +34,7 @@
     let mut health = Health::default();
     broken(&mut health, SECOND, 2);
     health.begin_request(2 * SECOND);
-    health.forget_trial();
+    health.cancel_probe();
     assert!(health.is_usable(2 * SECOND));
 }
 
