--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -1,76 +1,79 @@
-//! How many requests an upstream holds, from own counts and its reports.
+//! Number of requests at an upstream, from the router's own count and from the upstream's reports.
 
 use std::time::Duration;
 
-/// Age at which a report says nothing any more, for each router of the fleet: the more routers there
-/// are, the more rarely one hears of a replica, and an older report is better than none.
-const LIFETIME_PER_ROUTER: Duration = Duration::from_millis(250);
-/// Shortest such age.
-const SHORTEST_LIFETIME: Duration = Duration::from_secs(2);
-/// Longest such age.
-const LONGEST_LIFETIME: Duration = Duration::from_secs(10);
+/// Age at which a load report expires, per router of the fleet: the more routers there are, the
+/// less often each one gets a report of a given replica, and an old report is better than none.
+const REPORT_LIFETIME_PER_ROUTER: Duration = Duration::from_millis(250);
+/// Minimum age at which a load report expires.
+const MIN_REPORT_LIFETIME: Duration = Duration::from_secs(2);
+/// Maximum age at which a load report expires.
+const MAX_REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// What an upstream said about itself beside an answer.
+/// Load that an upstream reports along with an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Number of requests that the upstream is processing.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Number of requests in the upstream's queue.
     pub waiting: u32,
 }
 
+/// The latest load report of an upstream.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
-    /// Requests there.
+struct StoredReport {
+    /// Requests of all routers at the upstream.
     total: u32,
-    /// Requests that others than this router had there.
+    /// Requests of other routers at the upstream.
     peer_requests: u32,
-    at: Duration,
-    /// When this router heard of it.
-    heard_at: Duration,
-    /// The upstream said it to this router.
+    /// When the upstream made the report.
+    reported_at: Duration,
+    /// When this router received the report.
+    received_at: Duration,
+    /// Whether the upstream sent the report to this router, not to another one that passed it on.
     is_own: bool,
 }
 
-/// Requests of other routers at one upstream.
+/// Requests of other routers at one upstream, from the latest load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerLoad {
-    /// Their number when the upstream reported.
+    /// Number of these requests when the upstream made the report.
     pub requests: f64,
-    /// How far the report is trusted, from 1 to 0.
+    /// Weight of the report in an estimate: 1 for a new report, falling to 0 as the report expires.
     pub weight: f64,
 }
 
-/// What a router knows besides of the load of a service.
+/// Average load of the replicas of a service, on which estimates rest where reports are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AverageLoad {
-    /// Requests that other routers usually have at one of its upstreams.
+    /// Mean number of requests of other routers at one replica.
     pub peer_requests: f64,
-    /// Requests that this router usually has there.
+    /// Mean number of requests of this router at one replica.
     pub own_requests: f64,
-    /// Routers that are alive, this one included.
+    /// Number of live routers, including this one.
     pub routers: u32,
 }
 
 impl AverageLoad {
-    /// Guesses the requests of other routers at an upstream where this one has `own`.
+    /// Estimates the requests of other routers at an upstream where this router has `own_requests`.
     ///
-    /// Callers of all routers ask for the same hot keys: more own requests than usual speak for more
-    /// of others, as far as so few tell.
-    fn guess(&self, own: u32) -> f64 {
-        self.peer_requests * (1.0 + f64::from(own)) / (1.0 + self.own_requests)
+    /// All routers get requests for the same hot keys, so an upstream with more requests of this
+    /// router than average likely has more requests of the others, too. Adding one to both numbers
+    /// weakens the effect while there are only a few requests to judge by.
+    fn estimate_peer_requests(&self, own_requests: u32) -> f64 {
+        self.peer_requests * (1.0 + f64::from(own_requests)) / (1.0 + self.own_requests)
     }
 }
 
-/// Requests at one upstream.
+/// Requests at one upstream, as one router knows them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     own_requests: u32,
-    reported: Option<Reported>,
+    latest_report: Option<StoredReport>,
 }
 
 impl Load {
-    /// Counts a request of this router.
+    /// Counts a request that this router sends.
     pub fn begin_request(&mut self) {
         self.own_requests += 1;
     }
@@ -80,79 +83,95 @@
         self.own_requests = self.own_requests.saturating_sub(1);
     }
 
-    /// Takes a report.
+    /// Records a load report that the upstream sent to this router.
     pub fn report(&mut self, now: Duration, report: LoadReport) {
         let total = report.running + report.waiting;
         let peer_requests = total.saturating_sub(self.own_requests);
-        self.reported =
-            Some(Reported { total, peer_requests, at: now, heard_at: now, is_own: true });
+        self.latest_report = Some(StoredReport {
+            total,
+            peer_requests,
+            reported_at: now,
+            received_at: now,
+            is_own: true,
+        });
     }
 
-    /// Takes what another router heard, unless a later report is known.
+    /// Records a load report of `total` requests that another router passed on, `age` after the
+    /// upstream made it. Does nothing if a report that is as new is known.
     pub fn apply_shared_load(&mut self, now: Duration, total: u32, age: Duration) {
-        let at = now.saturating_sub(age);
-        if self.reported.is_some_and(|known| known.at >= at) {
+        let reported_at = now.saturating_sub(age);
+        if self.latest_report.is_some_and(|known| known.reported_at >= reported_at) {
             return;
         }
         let peer_requests = total.saturating_sub(self.own_requests);
-        self.reported = Some(Reported { total, peer_requests, at, heard_at: now, is_own: false });
+        self.latest_report = Some(StoredReport {
+            total,
+            peer_requests,
+            reported_at,
+            received_at: now,
+            is_own: false,
+        });
     }
 
-    /// Returns the last report with its age, where it was heard after a time; `only_own` leaves out
-    /// what other routers said.
-    pub fn heard_after(
+    /// Returns the total and the age of the latest report if this router received it later than
+    /// `after`. With `only_own`, leaves out a report that another router passed on.
+    pub fn report_after(
         &self,
         now: Duration,
         after: Duration,
         only_own: bool,
     ) -> Option<(u32, Duration)> {
-        let reported = self.reported?;
-        let is_new = reported.heard_at > after && (reported.is_own || !only_own);
-        is_new.then(|| (reported.total, now.saturating_sub(reported.at)))
+        let latest_report = self.latest_report?;
+        let is_new = latest_report.received_at > after && (latest_report.is_own || !only_own);
+        is_new.then(|| (latest_report.total, now.saturating_sub(latest_report.reported_at)))
     }
 
-    /// Returns the requests of this router.
+    /// Returns the number of requests of this router at the upstream.
     pub fn own_requests(&self) -> u32 {
         self.own_requests
     }
 
-    /// Returns the age of the last report, where there was one.
+    /// Returns the age of the latest report; `None` if there is none.
     pub fn report_age(&self, now: Duration) -> Option<Duration> {
-        Some(now.saturating_sub(self.reported?.at))
+        Some(now.saturating_sub(self.latest_report?.reported_at))
     }
 
-    /// Returns the requests of other routers by the last report, and how far it is trusted in a fleet
-    /// of so many routers, from 1 for a new one to 0.
+    /// Returns the requests of other routers according to the latest report, in a fleet of
+    /// `routers` routers; `None` if there is no report or it has expired.
     pub fn peer_load(&self, now: Duration, routers: u32) -> Option<PeerLoad> {
-        let lifetime = (LIFETIME_PER_ROUTER * routers).clamp(SHORTEST_LIFETIME, LONGEST_LIFETIME);
+        let lifetime =
+            (REPORT_LIFETIME_PER_ROUTER * routers).clamp(MIN_REPORT_LIFETIME, MAX_REPORT_LIFETIME);
         let age = self.report_age(now).filter(|age| *age < lifetime)?;
-        let part = age.as_secs_f64() / lifetime.as_secs_f64();
-        // Most of a report holds for most of its life.
-        let weight = 1.0 - part * part;
-        Some(PeerLoad { requests: f64::from(self.reported?.peer_requests), weight })
+        let age_ratio = age.as_secs_f64() / lifetime.as_secs_f64();
+        // Falls slowly at first, since a report stays mostly valid for most of its lifetime.
+        let weight = 1.0 - age_ratio * age_ratio;
+        Some(PeerLoad { requests: f64::from(self.latest_report?.peer_requests), weight })
     }
 
-    /// Estimates the requests of all routers there.
+    /// Estimates the number of requests of all routers at the upstream.
     ///
-    /// A report counts less the older it is; what it does not say is taken to be as usual.
+    /// The older the latest report is, the less weight it has. The remaining weight goes to an
+    /// estimate from the average load of the service.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use teaselworks_policy::upstream::{Load, LoadReport, AverageLoad};
+    /// use teaselworks_policy::upstream::{AverageLoad, Load, LoadReport};
     ///
-    /// let usual = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
+    /// let average = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
     /// let mut load = Load::default();
     /// load.begin_request();
-    /// assert_eq!(load.estimate(Duration::ZERO, &usual), 6.0);
+    /// assert_eq!(load.estimate(Duration::ZERO, &average), 6.0);
     /// load.report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
-    /// assert_eq!(load.estimate(Duration::ZERO, &usual), 9.0);
+    /// assert_eq!(load.estimate(Duration::ZERO, &average), 9.0);
     /// ```
-    pub fn estimate(&self, now: Duration, usual: &AverageLoad) -> f64 {
-        let guess = usual.guess(self.own_requests);
-        let foreign = match self.peer_load(now, usual.routers) {
-            Some(PeerLoad { requests, weight }) => weight * requests + (1.0 - weight) * guess,
-            None => guess,
+    pub fn estimate(&self, now: Duration, average: &AverageLoad) -> f64 {
+        let average_peer_requests = average.estimate_peer_requests(self.own_requests);
+        let peer_requests = match self.peer_load(now, average.routers) {
+            Some(PeerLoad { requests, weight }) => {
+                weight * requests + (1.0 - weight) * average_peer_requests
+            }
+            None => average_peer_requests,
         };
-        f64::from(self.own_requests) + foreign
+        f64::from(self.own_requests) + peer_requests
     }
 }
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -224,7 +224,7 @@
         let mut observations = SharedObservations::default();
         for member in &self.members {
             let incarnation = member.incarnation_hash();
-            if let Some((total, age)) = member.load.heard_after(now, after, only_own) {
+            if let Some((total, age)) = member.load.report_after(now, after, only_own) {
                 observations.loads.push(SharedLoad { incarnation, total, age });
             }
             if let Some((count, age)) = member.reach.told_after(now, after, only_own) {
