--- a/teaselworks_policy/src/upstream/observations.rs
+++ b/teaselworks_policy/src/upstream/observations.rs
@@ -1,54 +1,54 @@
-//! What routers tell each other of upstreams.
+//! Observations of upstreams that routers share with each other.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What one router heard of an upstream's load.
+/// Load of an upstream, from the latest report that the sharing router knows of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SharedLoad {
     /// Hash of the upstream's incarnation.
     pub incarnation: u64,
-    /// Requests there.
+    /// Number of requests of all routers at the upstream.
     pub total: u32,
-    /// Time since the upstream said it.
+    /// Time since the upstream made the report.
     pub age: Duration,
 }
 
-/// Failures of requests at an upstream since any router heard of it.
+/// Failures of requests to an upstream since it last responded to any router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SharedFailures {
     /// Hash of the upstream's incarnation.
     pub incarnation: u64,
-    /// Their number.
+    /// Number of failed requests.
     pub count: u32,
     /// Time since the first of these requests was sent.
     pub age: Duration,
 }
 
-/// What one router heard of upstreams since it told it last.
+/// Observations that one router made or received since it last shared them with another one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SharedObservations {
-    /// Loads.
+    /// Load reports of upstreams.
     pub loads: Vec<SharedLoad>,
-    /// Failures.
+    /// Failures of requests to upstreams.
     pub failures: Vec<SharedFailures>,
 }
 
 impl SharedObservations {
-    /// Tells whether there is nothing to tell.
+    /// Returns whether there is nothing to share.
     pub fn is_empty(&self) -> bool {
         self.loads.is_empty() && self.failures.is_empty()
     }
 
-    /// Adds what is known of another service.
+    /// Adds the observations of another service.
     pub fn extend(&mut self, other: SharedObservations) {
         self.loads.extend(other.loads);
         self.failures.extend(other.failures);
     }
 }
 
-/// SharedObservations by the hash of the incarnation.
+/// Shared observations, indexed by the hash of the upstream's incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct ObservationIndex {
     pub(super) loads: HashMap<u64, SharedLoad>,
@@ -59,16 +59,20 @@
     fn from(observations: &SharedObservations) -> Self {
         Self {
             loads: observations.loads.iter().map(|load| (load.incarnation, *load)).collect(),
-            failures: observations.failures.iter().map(|told| (told.incarnation, *told)).collect(),
+            failures: observations
+                .failures
+                .iter()
+                .map(|failed| (failed.incarnation, *failed))
+                .collect(),
         }
     }
 }
 
-/// A replica of which other routers' words changed the use.
+/// A replica that was ejected or readmitted because of observations of other routers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EjectionChange {
-    /// Its identifier.
+    /// Identifier of the replica.
     pub upstream: Arc<str>,
-    /// It gets no requests for a while; else it gets requests again.
+    /// True if the replica was ejected, false if it was readmitted.
     pub is_ejected: bool,
 }
