--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -165,12 +165,10 @@
     /// assert_eq!(load.estimate(Duration::ZERO, &average), 9.0);
     /// ```
     pub fn estimate(&self, now: Duration, average: &AverageLoad) -> f64 {
-        let average_peer_requests = average.estimate_peer_requests(self.own_requests);
+        let fallback = average.estimate_peer_requests(self.own_requests);
         let peer_requests = match self.peer_load(now, average.routers) {
-            Some(PeerLoad { requests, weight }) => {
-                weight * requests + (1.0 - weight) * average_peer_requests
-            }
-            None => average_peer_requests,
+            Some(PeerLoad { requests, weight }) => weight * requests + (1.0 - weight) * fallback,
+            None => fallback,
         };
         f64::from(self.own_requests) + peer_requests
     }
--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Replicas of engines and services: which exist, how loaded and how healthy they seem.
 
 mod concurrency;
-mod connect_times;
+mod connecting;
 mod health;
 mod load;
 mod observations;
@@ -14,7 +14,7 @@
 use std::time::SystemTime;
 
 pub use self::concurrency::ConcurrencyLimit;
-pub use self::connect_times::ConnectTimes;
+pub use self::connecting::ConnectTimes;
 pub use self::health::{Health, RequestOutcome};
 pub use self::load::{AverageLoad, Load, LoadReport, PeerLoad};
 pub use self::observations::{
