--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas of engines and services: which exist, how loaded and how healthy they seem.
+//! Upstreams, the replicas of model engines and services: the list of them, their load and health.
 
 mod concurrency;
 mod connecting;
@@ -6,7 +6,7 @@
 mod load;
 mod observations;
 mod pool;
-mod reach;
+mod reachability;
 mod registry;
 
 use std::net::SocketAddr;
@@ -21,41 +21,42 @@
     EjectionChange, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
 };
 pub use self::pool::{Member, Pool};
-pub use self::reach::Reach;
+pub use self::reachability::Reachability;
 pub use self::registry::{Change, ListEntry, Registry};
 
-/// One start of a replica. Two starts may have the same identifier and address.
+/// Identifies one start of a replica's process: a replica may keep its identifier and address when
+/// it restarts.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Incarnation {
-    /// Identifier in the list of replicas.
+    /// Identifier in the list of upstreams.
     pub id: Arc<str>,
-    /// Address.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
-    /// When the process started by its own clock, where it says so.
+    /// Start time of the process by its own clock; `None` if the replica does not report it.
     pub started: Option<SystemTime>,
 }
 
-/// One replica, as it is listed.
+/// A replica, as its entry in the list describes it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Upstream {
-    /// Identifier, which outlasts a restart.
+    /// Identifier, which stays the same across restarts.
     pub id: Arc<str>,
-    /// Service that it belongs to.
+    /// Service that the replica belongs to.
     pub service: Arc<str>,
-    /// Address, which another replica may be given once this one is gone.
+    /// Address, which may be given to another replica once this one is gone.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone that the replica runs in.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that the replica processes at the same time.
     pub slots: u32,
-    /// It leaves soon and takes no new requests.
+    /// Whether the replica is about to stop and takes no new requests.
     pub is_draining: bool,
-    /// When the process started by its own clock, where it says so.
+    /// Start time of the process by its own clock; `None` if the replica does not report it.
     pub started: Option<SystemTime>,
 }
 
 impl Upstream {
-    /// Returns which start of the replica this is.
+    /// Returns the incarnation, which identifies this start of the replica.
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
@@ -70,14 +71,14 @@
         Incarnation { id: self.id.clone(), address: self.address, started: self.started }
     }
 
-    /// Tells whether this is the start that `incarnation` names.
-    fn is(&self, incarnation: &Incarnation) -> bool {
+    /// Returns whether `incarnation` identifies this start of the replica.
+    fn has_incarnation(&self, incarnation: &Incarnation) -> bool {
         self.id == incarnation.id
             && self.started == incarnation.started
             && self.address == incarnation.address
     }
 
-    /// Makes a replica with eight slots on loopback, for examples and tests.
+    /// Creates a replica with eight slots and a loopback address, for examples and tests.
     ///
     /// ```
     /// use teaselworks_policy::upstream::Upstream;
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The replicas of one service, with load and health.
+//! The replicas of one service, with their load and health.
 
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
@@ -7,38 +7,42 @@
 
 use super::{
     ConcurrencyLimit, EjectionChange, Health, Incarnation, Load, LoadReport, ObservationIndex,
-    Reach, RequestOutcome, SharedFailures, SharedLoad, SharedObservations, Upstream,
+    Reachability, RequestOutcome, SharedFailures, SharedLoad, SharedObservations, Upstream,
 };
 
-/// Weight of the latest request in a running mean of times.
+/// Weight of the latest request in the exponential moving average of request times.
 const LATEST_WEIGHT: f64 = 0.1;
 
-/// Requests for each slot that all routers together always allow: beyond those that run, some wait
-/// for a slot that becomes free.
-const HELD_PER_SLOT: f64 = 1.3;
-/// The same where replicas say nothing of their load, and requests are spread less evenly.
-const UNREPORTED_PER_SLOT: f64 = 2.0;
+/// Lower bound of the concurrency limit, as requests per slot over all routers together: some
+/// requests beyond those that the replicas process wait for the next free slot.
+const MIN_REQUESTS_PER_SLOT: f64 = 1.3;
+/// The same bound for a service that does not report its load, where requests are spread less
+/// evenly over the replicas.
+const MIN_REQUESTS_PER_SLOT_UNREPORTED: f64 = 2.0;
 
 /// One replica of a service.
 #[derive(Debug)]
 pub struct Member {
-    /// The replica as listed.
+    /// The replica, as its entry in the list describes it.
     pub upstream: Arc<Upstream>,
-    /// Hash of its identifier.
+    /// Hash of the identifier.
     pub identity: u64,
-    /// Requests at it.
+    /// Number of requests at the replica.
     pub load: Load,
-    /// Whether it should get requests.
+    /// Health, which decides whether the replica gets requests.
     pub health: Health,
-    /// Failures that routers met since it was last heard of.
-    pub reach: Reach,
-    /// Running mean of the time that it holds a request.
+    /// Failures of requests of all routers since the replica last responded.
+    pub reachability: Reachability,
+    /// Exponential moving average of the time from sending a request to the end of its answer;
+    /// `None` before the first answer.
     pub mean_request_time: Option<Duration>,
-    /// It leaves soon and takes no new requests.
+    /// Whether the replica is about to stop and takes no new requests.
     pub is_draining: bool,
-    /// Its entry cannot be read at the moment; it takes no new requests.
+    /// Whether the replica's entry in the list cannot be decoded at the moment, so that it takes no
+    /// new requests.
     pub is_suspended: bool,
-    /// It started again and has answered nothing since: it keeps no prompts.
+    /// Whether the replica has restarted and answered no request since, so that its prompt cache is
+    /// empty.
     pub has_empty_cache: bool,
 }
 
@@ -50,7 +54,7 @@
             upstream: Arc::new(upstream),
             load: Load::default(),
             health: Health::default(),
-            reach: Reach::default(),
+            reachability: Reachability::default(),
             mean_request_time: None,
             is_suspended: false,
             has_empty_cache,
@@ -59,7 +63,7 @@
 }
 
 impl Member {
-    /// Returns a hash that tells starts of the same replica apart.
+    /// Returns a hash that differs between starts of the same replica.
     fn incarnation_hash(&self) -> u64 {
         let started = self.upstream.started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
         let started_ms = started.map_or(0, |since| since.as_millis() as u64);
@@ -67,21 +71,23 @@
     }
 }
 
-/// Replicas of one service that take requests, or still hold some.
+/// Replicas of one service that take requests or still process some.
 #[derive(Debug, Default)]
 pub struct Pool {
     members: Vec<Member>,
-    /// Shortest time to an answer that callers of the service aim at.
+    /// Shortest target latency of the routes to the service.
     target: Option<Duration>,
-    reports_load: bool,
-    concurrency: ConcurrencyLimit,
-    /// When callers that were refused come back.
+    /// Whether a replica of the service has ever reported its load.
+    has_load_reports: bool,
+    concurrency_limit: ConcurrencyLimit,
+    /// Schedule by which callers that were refused come back.
     pub returns: Returns,
 }
 
 impl Pool {
-    /// Adds a replica, or changes its properties. Nothing that is known of an earlier start of it
-    /// holds for a later one.
+    /// Adds a replica or updates its properties.
+    ///
+    /// When the replica has restarted, the state of its earlier incarnation is discarded.
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
@@ -112,58 +118,66 @@
         *member = Member::new(upstream, true);
     }
 
-    /// Sets the shortest time to an answer that callers of the service aim at.
+    /// Sets the shortest target latency of the routes to the service.
     pub fn set_target(&mut self, target: Option<Duration>) {
         self.target = target;
     }
 
-    /// Returns the shortest time to an answer that callers of the service aim at.
+    /// Returns the shortest target latency of the routes to the service.
     pub fn target(&self) -> Option<Duration> {
         self.target
     }
 
-    /// Tells whether this router keeps as many requests at the service as are answered in time; one
-    /// that reports its load is judged so only while nearly all of its slots are taken.
+    /// Returns whether this router has as many requests at the service as are answered in time.
+    ///
+    /// For a service that reports its load, the limit applies only while nearly all slots are taken
+    /// (`is_crowded`).
     pub fn is_saturated(&self, now: Duration, is_crowded: bool) -> bool {
-        (is_crowded || !self.reports_load) && !self.concurrency.allows(self.in_progress(now))
+        (is_crowded || !self.has_load_reports)
+            && !self.concurrency_limit.allows(self.in_progress(now))
     }
 
-    /// Returns the requests of this router at replicas that may answer; what waits at a replica that
-    /// is silent takes no room from others.
+    /// Returns the number of requests of this router at usable replicas. Requests that wait at an
+    /// ejected replica do not count towards the limit.
     fn in_progress(&self, now: Duration) -> u32 {
         self.usable(now).map(|member| member.load.own_requests()).sum()
     }
 
+    /// Returns the replicas that are neither ejected nor being probed.
     fn usable(&self, now: Duration) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.health.is_usable(now))
     }
 
-    /// Takes how long a request waited for the first byte of its answer, in a fleet of so many
+    /// Records how long a request waited for the first byte of its answer, in a fleet of `routers`
     /// routers.
     pub fn on_first_byte(&mut self, now: Duration, waited: Duration, routers: u32) {
         let Some(target) = self.target else { return };
         let slots: u32 = self.usable(now).map(|member| member.upstream.slots).sum();
-        let held_per_slot = if self.reports_load { HELD_PER_SLOT } else { UNREPORTED_PER_SLOT };
-        let least = held_per_slot * f64::from(slots) / f64::from(routers.max(1));
+        let requests_per_slot = if self.has_load_reports {
+            MIN_REQUESTS_PER_SLOT
+        } else {
+            MIN_REQUESTS_PER_SLOT_UNREPORTED
+        };
+        let min_limit = requests_per_slot * f64::from(slots) / f64::from(routers.max(1));
         let in_progress = self.in_progress(now);
-        self.concurrency.observe(now, waited, target, in_progress, least);
+        self.concurrency_limit.observe(now, waited, target, in_progress, min_limit);
     }
 
-    /// Sends no new requests to a replica until its entry can be read again.
+    /// Sends no new requests to a replica until its entry in the list can be decoded again.
     pub fn suspend(&mut self, id: &str) {
         if let Some(member) = self.find_mut(id) {
             member.is_suspended = true;
         }
     }
 
-    /// Stops sending requests to a replica.
+    /// Sends no new requests to a replica that is about to stop.
     pub fn set_draining(&mut self, id: &str) {
         if let Some(member) = self.find_mut(id) {
             member.is_draining = true;
         }
     }
 
-    /// Forgets a replica.
+    /// Removes a replica.
     pub fn remove(&mut self, id: &str) {
         self.members.retain(|member| &*member.upstream.id != id);
     }
@@ -180,9 +194,11 @@
         member.health.begin_request(now);
     }
 
-    /// Counts the end of a request; tells whether the replica is ejected for what became of it.
+    /// Counts the end of a request that was at the replica for the time `held`. Returns whether
+    /// this ejects the replica.
     ///
-    /// What an earlier start of the replica did changes nothing.
+    /// `outcome` is `None` where the request does not tell anything about the replica's health. The
+    /// end of a request to an earlier incarnation is ignored.
     pub fn end_request(
         &mut self,
         now: Duration,
@@ -194,8 +210,12 @@
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
-            Some(RequestOutcome::Answered | RequestOutcome::ErrorAnswer) => member.reach.see(now),
-            Some(RequestOutcome::NoAnswer) => member.reach.fail(now, now.saturating_sub(held)),
+            Some(RequestOutcome::Answered | RequestOutcome::ErrorAnswer) => {
+                member.reachability.on_response(now)
+            }
+            Some(RequestOutcome::NoAnswer) => {
+                member.reachability.on_failure(now, now.saturating_sub(held))
+            }
             None => {}
         }
         if outcome == Some(RequestOutcome::Answered) {
@@ -213,8 +233,8 @@
         }
     }
 
-    /// Returns what was heard of the replicas after a time; `only_own` leaves out what other routers
-    /// said.
+    /// Returns the observations of the replicas that this router made or received later than
+    /// `after`. With `only_own`, leaves out those that it received from other routers.
     pub fn observations_after(
         &self,
         now: Duration,
@@ -227,50 +247,53 @@
             if let Some((total, age)) = member.load.report_after(now, after, only_own) {
                 observations.loads.push(SharedLoad { incarnation, total, age });
             }
-            if let Some((count, age)) = member.reach.told_after(now, after, only_own) {
+            if let Some((count, age)) = member.reachability.failures_after(now, after, only_own) {
                 observations.failures.push(SharedFailures { incarnation, count, age });
             }
         }
         observations
     }
 
-    /// Takes what another router heard; returns the replicas that are ejected or in use again for it.
+    /// Applies the observations of another router. Returns the replicas that are ejected or
+    /// readmitted because of them.
     pub fn apply_observations(
         &mut self,
         now: Duration,
-        heard: &ObservationIndex,
+        observations: &ObservationIndex,
     ) -> Vec<EjectionChange> {
         let mut changes = Vec::new();
         for member in &mut self.members {
             let hash = member.incarnation_hash();
-            if let Some(load) = heard.loads.get(&hash) {
-                self.reports_load = true;
+            if let Some(load) = observations.loads.get(&hash) {
+                self.has_load_reports = true;
                 member.load.apply_shared_load(now, load.total, load.age);
-                member.reach.see(now.saturating_sub(load.age));
+                member.reachability.on_response(now.saturating_sub(load.age));
             }
-            let is_silent =
-                heard.failures.get(&hash).is_some_and(|told| member.reach.hear(now, told));
-            let has_changed = if is_silent {
+            let is_unresponsive = observations
+                .failures
+                .get(&hash)
+                .is_some_and(|failures| member.reachability.apply_shared_failures(now, failures));
+            let has_changed = if is_unresponsive {
                 member.health.eject_for_peer_failures(now)
             } else {
-                member.reach.has_no_failure() && member.health.readmit()
+                member.reachability.has_no_failure() && member.health.readmit()
             };
             if has_changed {
                 changes.push(EjectionChange {
                     upstream: member.upstream.id.clone(),
-                    is_ejected: is_silent,
+                    is_ejected: is_unresponsive,
                 });
             }
         }
         changes
     }
 
-    /// Takes a replica's report of its load; one of an earlier start changes nothing.
+    /// Records a replica's load report. The load in a report of an earlier incarnation is ignored.
     pub fn report(&mut self, now: Duration, incarnation: &Incarnation, report: LoadReport) {
-        self.reports_load = true;
+        self.has_load_reports = true;
         if let Some(member) = self.find_incarnation(incarnation) {
             member.load.report(now, report);
-            member.reach.see(now);
+            member.reachability.on_response(now);
         }
     }
 
@@ -279,7 +302,7 @@
     }
 
     fn find_incarnation(&mut self, incarnation: &Incarnation) -> Option<&mut Member> {
-        self.members.iter_mut().find(|member| member.upstream.is(incarnation))
+        self.members.iter_mut().find(|member| member.upstream.has_incarnation(incarnation))
     }
 
     fn mean_failure_rate(&self) -> f64 {
