--- a/teaselworks_policy/src/upstream/registry.rs
+++ b/teaselworks_policy/src/upstream/registry.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, kept through outages of the service that lists them.
+//! The list of upstreams, which is kept during outages of the store that it is read from.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -6,20 +6,21 @@
 
 use super::Upstream;
 
-/// Shortest silence of the list that may have made entries of live upstreams lapse.
+/// Minimum duration of an outage of the store in which entries of live upstreams may have expired.
 ///
-/// Entries lapse after three missed heartbeats, of which each takes a second or more.
-const LAPSING_OUTAGE: Duration = Duration::from_secs(2);
-/// Time after the end of an outage within which lapsed entries of live upstreams are back: about
-/// two seconds by the platform's word, and a margin for the way of the news.
-const LAPSE_GRACE: Duration = Duration::from_millis(2_500);
-
-/// What an entry of the list says.
+/// Entries expire after three missed heartbeats, which are a second or more apart.
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_secs(2);
+/// Time after the end of an outage within which live upstreams whose entries expired are listed
+/// again: about two seconds according to the platform, and a margin until the change reaches this
+/// router.
+const GRACE_PERIOD: Duration = Duration::from_millis(2_500);
+
+/// An entry of the list, as read from the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ListEntry {
-    /// A replica.
+    /// The entry of a replica.
     Upstream(Upstream),
-    /// Nothing that can be understood, under this identifier.
+    /// The identifier of an entry that cannot be decoded.
     Unreadable(Arc<str>),
 }
 
@@ -32,69 +33,77 @@
     }
 }
 
-/// What became of an upstream.
+/// A change of one upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It takes requests, with these properties.
+    /// The upstream takes requests and has these properties.
     Serving(Upstream),
-    /// It started again: nothing that is known of it holds any more.
+    /// The upstream has restarted: what was known of it before does not apply any more.
     Restarted(Upstream),
-    /// Its entry is of an earlier start than the known one and is ignored.
+    /// An entry of an earlier start of the upstream than the known one was read and is ignored.
     Stale(Arc<str>),
-    /// Its entry cannot be understood; it takes no new requests until it can.
+    /// The upstream's entry cannot be decoded; it takes no new requests until the entry can be
+    /// decoded.
     Suspended(Arc<str>),
-    /// It leaves and takes no new requests.
+    /// The upstream is about to stop and takes no new requests.
     Draining(Arc<str>),
-    /// Its entry is missing after an outage; it is used until it is back or known to be gone.
+    /// The upstream's entry is missing after an outage of the store; the upstream stays in use
+    /// until the entry is back or the grace period ends.
     Missing(Arc<str>),
-    /// It is gone.
+    /// The upstream has been removed.
     Gone(Arc<str>),
 }
 
+/// An upstream that is listed or in a grace period.
 #[derive(Clone, Debug)]
 struct Entry {
     upstream: Upstream,
-    /// Clock reading at which an entry that is missing counts as gone.
+    /// End of the grace period of an entry that is missing from the list; `None` if it is listed.
     missing_until: Option<Duration>,
+    /// Whether the entry in the list cannot be decoded.
     is_suspended: bool,
 }
 
-/// Believed list of upstreams.
+/// The upstreams that this router considers to exist.
 ///
-/// Entries of live upstreams lapse while the service that lists them is down. What vanishes right
-/// after such an outage is kept until live upstreams have had time to come back.
+/// Entries of live upstreams expire while the store is down. Upstreams whose entries are missing
+/// right after such an outage are kept for a grace period, in which live ones register again.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<Arc<str>, Entry>,
+    /// When the list became unreadable; `None` while it can be read.
     lost_at: Option<Duration>,
+    /// End of the grace period after the last outage.
     grace_until: Option<Duration>,
 }
 
 impl Registry {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that the list cannot be read any more.
+    /// Records that the list cannot be read any more.
     pub fn on_lost(&mut self, now: Duration) {
         self.lost_at.get_or_insert(now);
     }
 
-    /// Notes that others can read the list: what vanishes from it did not lapse in an outage.
+    /// Records that other routers can read the list. There is no outage of the store then, so
+    /// entries that disappear get no grace period.
     pub fn on_read_elsewhere(&mut self) {
         self.lost_at = None;
     }
 
-    /// Notes that the list can be read again; call it before what was read is applied.
+    /// Records that the list can be read again. Call this before applying entries that were read
+    /// since.
     pub fn on_regained(&mut self, now: Duration) {
         let Some(lost_at) = self.lost_at.take() else { return };
-        if now.saturating_sub(lost_at) >= LAPSING_OUTAGE {
-            self.grace_until = Some(now + LAPSE_GRACE);
+        if now.saturating_sub(lost_at) >= MIN_EXPIRY_OUTAGE {
+            self.grace_until = Some(now + GRACE_PERIOD);
         }
     }
 
-    /// Puts or changes an entry.
+    /// Adds or updates an entry. Returns `None` if nothing changed.
     ///
     /// ```
     /// use teaselworks_policy::upstream::{Change, Registry, Upstream};
@@ -108,7 +117,8 @@
         let id = upstream.id.clone();
         let before = self.entries.get(&id);
         let is_restarted = match before.map(|entry| (entry.upstream.started, upstream.started)) {
-            // A replica that says when it started always does.
+            // A replica that reports its start time always does. An entry without it was written by
+            // someone else and is treated like one that cannot be decoded.
             Some((Some(_), None)) => return self.suspend(&id),
             Some((Some(known), Some(started))) if started < known => {
                 return Some(Change::Stale(id));
@@ -133,7 +143,8 @@
         Some(Change::Serving(upstream))
     }
 
-    /// Notes that the entry of an identifier cannot be understood.
+    /// Records that the entry of an upstream cannot be decoded. Returns `None` if the upstream is
+    /// unknown or was suspended before.
     ///
     /// ```
     /// use teaselworks_policy::upstream::{Change, Registry, Upstream};
@@ -152,16 +163,18 @@
         Some(Change::Suspended(entry.upstream.id.clone()))
     }
 
-    /// Removes an entry, or counts it as missing for a while after an outage.
+    /// Removes an entry. In the grace period after an outage, marks it as missing instead. Returns
+    /// `None` if the upstream is unknown or was missing before.
     pub fn remove(&mut self, now: Duration, id: &str) -> Option<Change> {
         let entry = self.entries.get_mut(id)?;
         if entry.missing_until.is_some() {
             return None;
         }
         let grace = self.grace_until.filter(|until| now < *until);
-        // An upstream that announced its end is not waited for.
-        let is_awaited = !entry.upstream.is_draining && !entry.is_suspended;
-        if let Some(until) = grace.filter(|_| is_awaited) {
+        // No grace period for an upstream that announced that it stops, and for one whose last
+        // entry could not be decoded and thus was not written by the upstream.
+        let has_grace_period = !entry.upstream.is_draining && !entry.is_suspended;
+        if let Some(until) = grace.filter(|_| has_grace_period) {
             entry.missing_until = Some(until);
             return Some(Change::Missing(entry.upstream.id.clone()));
         }
@@ -169,7 +182,7 @@
         Some(Change::Gone(entry.upstream.id))
     }
 
-    /// Replaces the list by one that was read whole.
+    /// Replaces the list with a complete one that was read from the store.
     pub fn replace(&mut self, now: Duration, list: Vec<ListEntry>) -> Vec<Change> {
         let mut changes = Vec::new();
         let listed: HashSet<Arc<str>> = list.iter().map(|listed| listed.id().clone()).collect();
@@ -188,37 +201,37 @@
         changes
     }
 
-    /// Drops entries that have been missing for too long.
+    /// Removes missing entries whose grace period has ended.
     pub fn expire(&mut self, now: Duration) -> Vec<Change> {
-        let is_due = |entry: &Entry| entry.missing_until.is_some_and(|until| now >= until);
-        let due: Vec<Arc<str>> = self
+        let has_expired = |entry: &Entry| entry.missing_until.is_some_and(|until| now >= until);
+        let expired: Vec<Arc<str>> = self
             .entries
             .iter()
-            .filter(|(_, entry)| is_due(entry))
+            .filter(|(_, entry)| has_expired(entry))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &due {
+        for id in &expired {
             self.entries.remove(id);
         }
-        due.into_iter().map(Change::Gone).collect()
+        expired.into_iter().map(Change::Gone).collect()
     }
 
-    /// Tells whether an entry is missing that will count as gone after a while.
+    /// Returns whether any entry is missing and kept for a grace period.
     pub fn has_missing_entries(&self) -> bool {
         self.entries.values().any(|entry| entry.missing_until.is_some())
     }
 
-    /// Returns the entries that are listed or awaited.
+    /// Returns the upstreams that are listed or in a grace period.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.entries.values().map(|entry| &entry.upstream)
     }
 
-    /// Returns the number of entries.
+    /// Returns the number of upstreams that are listed or in a grace period.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no upstream is known.
+    /// Returns whether no upstream is listed or in a grace period.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
