--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -1,21 +1,27 @@
-//! The limit on requests at a service, by how long answers take.
+//! Tests of the limit on requests in progress at a service.
 
 use std::time::Duration;
 
 use teaselworks_policy::upstream::{LoadReport, Pool, RequestOutcome, Upstream};
 
-const AIM: Duration = Duration::from_millis(300);
+const TARGET: Duration = Duration::from_millis(300);
 
 fn pool() -> Pool {
     let mut pool = Pool::default();
     for number in 0..4 {
         pool.put(Upstream { slots: 6, ..Upstream::example(&format!("i-{number}"), "plain") });
     }
-    pool.set_target(Some(AIM));
+    pool.set_target(Some(TARGET));
     pool
 }
 
-fn press(pool: &mut Pool, seconds: std::ops::Range<u64>, in_progress: u32, waited: Duration) {
+/// Sends requests in batches of `in_progress`, of which each waits for its answer for `waited`.
+fn send_requests(
+    pool: &mut Pool,
+    seconds: std::ops::Range<u64>,
+    in_progress: u32,
+    waited: Duration,
+) {
     let upstream = Upstream::example("i-0", "plain").incarnation();
     for ms in (seconds.start * 1_000..seconds.end * 1_000).step_by(20) {
         let now = Duration::from_millis(ms);
@@ -29,7 +35,8 @@
     }
 }
 
-fn allowed(pool: &mut Pool) -> u32 {
+/// Returns how many requests the limit allows at once, counted up to 100.
+fn count_allowed_requests(pool: &mut Pool) -> u32 {
     let upstream = Upstream::example("i-0", "plain").incarnation();
     let mut count = 0;
     while count < 100 && !pool.is_saturated(Duration::ZERO, false) {
@@ -42,44 +49,45 @@
     count
 }
 
-/// Guards against replicas whose queues hold more than callers wait for.
+/// Guards against queues in the replicas that are longer than callers wait for, because routers go
+/// on sending requests while answers are late.
 #[test]
 fn late_answers_lower_the_limit_to_this_routers_share() {
     let mut pool = pool();
-    assert_eq!(allowed(&mut pool), 100, "nothing was late yet");
-    press(&mut pool, 1..20, 30, Duration::from_millis(280));
-    let least = allowed(&mut pool);
-    assert!((5..=7).contains(&least), "{least}");
+    assert_eq!(count_allowed_requests(&mut pool), 100, "no answer has been late yet");
+    send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
+    let lowest_limit = count_allowed_requests(&mut pool);
+    assert!((5..=7).contains(&lowest_limit), "{lowest_limit}");
 }
 
-/// Guards against a limit that outlasts the load that brought it.
+/// Guards against a limit that stays low after the overload that lowered it has ended.
 #[test]
 fn answers_in_time_raise_the_limit_again() {
     let mut pool = pool();
-    press(&mut pool, 1..20, 30, Duration::from_millis(280));
-    press(&mut pool, 20..30, 6, Duration::from_millis(60));
-    let limit = allowed(&mut pool);
+    send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
+    send_requests(&mut pool, 20..30, 6, Duration::from_millis(60));
+    let limit = count_allowed_requests(&mut pool);
     assert!(limit > 15, "{limit}");
 }
 
-/// Guards against a service that is refused for one answer that took long.
+/// Guards against refusing requests to a service because of a single slow answer.
 #[test]
-fn a_single_late_answer_lowers_nothing() {
+fn a_single_late_answer_does_not_lower_the_limit() {
     let mut pool = pool();
-    press(&mut pool, 1..2, 3, Duration::from_millis(60));
-    press(&mut pool, 2..3, 1, Duration::from_millis(60));
+    send_requests(&mut pool, 1..2, 3, Duration::from_millis(60));
+    send_requests(&mut pool, 2..3, 1, Duration::from_millis(60));
     pool.on_first_byte(Duration::from_secs(3), Duration::from_millis(450), 7);
-    assert_eq!(allowed(&mut pool), 100);
+    assert_eq!(count_allowed_requests(&mut pool), 100);
 }
 
-/// Guards against many routers that act on the same late reports, so that replicas which report
-/// their load hold more than callers wait for.
+/// Guards against queues that are longer than callers wait for at replicas that report their load:
+/// many routers send requests on the basis of the same outdated reports.
 #[test]
-fn a_service_that_reports_is_limited_while_nearly_all_slots_are_taken() {
+fn a_service_that_reports_its_load_is_limited_while_nearly_all_slots_are_taken() {
     let mut pool = pool();
     let report = LoadReport { running: 6, waiting: 9 };
     pool.report(Duration::ZERO, &Upstream::example("i-0", "plain").incarnation(), report);
-    press(&mut pool, 1..20, 30, Duration::from_millis(280));
+    send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-0", "plain").incarnation();
     for _ in 0..30 {
@@ -89,12 +97,12 @@
     assert!(!pool.is_saturated(now, false), "slots are free");
 }
 
-/// Guards against requests that wait at silent replicas and take the room of those that would be
-/// answered elsewhere.
+/// Guards against requests at unresponsive replicas that use up the limit, so that requests are
+/// refused which other replicas would answer.
 #[test]
-fn what_waits_at_an_ejected_replica_takes_no_room() {
+fn requests_at_an_ejected_replica_do_not_count_towards_the_limit() {
     let mut pool = pool();
-    press(&mut pool, 1..20, 30, Duration::from_millis(280));
+    send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-1", "plain").incarnation();
     for _ in 0..40 {
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection and return of upstreams.
+//! Tests of the ejection of failing upstreams and of their return.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,35 +10,39 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn broken(health: &mut Health, now: Duration, times: usize) -> bool {
+/// Records requests without an answer; returns whether one of them ejects the replica.
+fn observe_unanswered(health: &mut Health, now: Duration, times: usize) -> bool {
     (0..times).any(|_| health.observe(now, RequestOutcome::NoAnswer, 0.0))
 }
 
-/// Guards against a burst of failures at a replica whose ejection ends while it is down.
+/// Guards against a burst of failed requests when the ejection of a replica ends while it is still
+/// down: without a probe, requests are sent to it again until enough of them have failed.
 #[test]
-fn one_trial_follows_an_ejection() {
+fn a_single_probe_follows_an_ejection() {
     let mut health = Health::default();
-    assert!(broken(&mut health, SECOND, 2));
+    assert!(observe_unanswered(&mut health, SECOND, 2));
     assert!(!health.is_usable(SECOND + SECOND / 2));
     assert!(health.is_usable(2 * SECOND));
     health.begin_request(2 * SECOND);
-    assert!(!health.is_usable(2 * SECOND), "the trial is under way");
-    assert!(health.observe(2 * SECOND, RequestOutcome::NoAnswer, 0.0), "the trial failed");
+    assert!(!health.is_usable(2 * SECOND), "the probe is in progress");
+    assert!(health.observe(2 * SECOND, RequestOutcome::NoAnswer, 0.0), "the probe failed");
     assert!(!health.is_usable(3 * SECOND), "the second ejection is longer");
     assert!(health.is_usable(4 * SECOND));
 }
 
-/// Guards against a replica that gets no request any more, since its trial was cancelled.
+/// Guards against a replica that never gets a request again because the probe was cancelled, for
+/// instance by its caller.
 #[test]
-fn a_cancelled_trial_is_made_again() {
+fn a_cancelled_probe_leaves_the_replica_usable() {
     let mut health = Health::default();
-    broken(&mut health, SECOND, 2);
+    observe_unanswered(&mut health, SECOND, 2);
     health.begin_request(2 * SECOND);
     health.cancel_probe();
     assert!(health.is_usable(2 * SECOND));
 }
 
-/// Guards against the ejection of replicas for failures that all of them share.
+/// Guards against the ejection of a replica whose failure rate is that of the whole service, so
+/// that the fault is not the replica's.
 #[test]
 fn failures_that_all_replicas_share_eject_none() {
     let mut health = Health::default();
@@ -49,6 +53,7 @@
     }
 }
 
+/// Guards against a replica that stays in use although it fails far more often than the others.
 #[test]
 fn a_replica_that_fails_more_than_its_peers_is_ejected() {
     let mut health = Health::default();
@@ -56,8 +61,8 @@
     assert!(ejected);
 }
 
-/// Returns how many replicas requests are sent to.
-fn chosen(pool: &Pool) -> usize {
+/// Returns the number of replicas that requests are sent to.
+fn count_used_replicas(pool: &Pool) -> usize {
     let demand = Demand {
         prompt: None,
         zone: "a",
@@ -73,9 +78,10 @@
     placed.map(|placement| placement.upstream.id.clone()).collect::<BTreeSet<_>>().len()
 }
 
-/// Guards against a service without replicas after a fault on the way to all of them.
+/// Guards against a service without usable replicas when a network fault makes all of them seem to
+/// fail.
 #[test]
-fn most_of_a_service_is_never_ejected() {
+fn ejections_of_more_than_half_of_a_service_are_ignored() {
     let mut pool = Pool::default();
     for number in 0..4 {
         pool.put(Upstream::example(&format!("i-{number}"), "chat"));
@@ -86,7 +92,7 @@
             pool.begin_request(SECOND, &upstream);
             pool.end_request(SECOND, &upstream, Some(RequestOutcome::NoAnswer), Duration::ZERO);
         }
-        let left = chosen(&pool);
+        let left = count_used_replicas(&pool);
         assert_eq!(left, if ejected <= 2 { 4 - ejected } else { 4 }, "{ejected} ejected");
     }
 }
--- a/teaselworks_policy/tests/registry.rs
+++ b/teaselworks_policy/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams through outages of the service that lists them.
+//! Tests of the list of upstreams: outages of the store, restarts and undecodable entries.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,9 +12,10 @@
     Duration::from_secs_f64(number)
 }
 
-/// Guards against a router without upstreams for seconds, since entries lapsed in an outage.
+/// Guards against a router that has no upstreams for seconds after an outage of the store, because
+/// the entries of live upstreams expired in it.
 #[test]
-fn entries_that_lapsed_in_an_outage_stay_until_they_are_back() {
+fn entries_that_expired_in_an_outage_are_kept_until_they_return() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -25,9 +26,9 @@
     assert!(registry.expire(seconds(60.0)).is_empty());
 }
 
-/// Guards against a grace period for lapsed entries that never ends.
+/// Guards against a grace period that never ends, so that a stopped upstream stays in use.
 #[test]
-fn entries_that_do_not_come_back_are_gone() {
+fn missing_entries_are_removed_after_the_grace_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -38,9 +39,9 @@
     assert!(registry.is_empty());
 }
 
-/// Guards against a grace period for an upstream that said it leaves.
+/// Guards against a grace period for an upstream that announced that it stops.
 #[test]
-fn an_upstream_that_drained_is_not_waited_for() {
+fn a_draining_upstream_gets_no_grace_period() {
     let mut registry = Registry::new();
     registry.put(Upstream { is_draining: true, ..upstream("i-1") });
     registry.on_lost(seconds(10.0));
@@ -48,9 +49,9 @@
     assert_eq!(registry.replace(seconds(15.0), Vec::new()), [Change::Gone("i-1".into())]);
 }
 
-/// Guards against one failed call that is taken for an outage in which entries lapse.
+/// Guards against taking one failed call for an outage in which entries expire.
 #[test]
-fn a_short_silence_gives_no_grace() {
+fn a_short_outage_gives_no_grace_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -58,8 +59,9 @@
     assert_eq!(registry.remove(seconds(10.6), "i-1"), Some(Change::Gone("i-1".into())));
 }
 
+/// Guards against a grace period for entries that are removed long after the outage.
 #[test]
-fn removals_long_after_an_outage_count_at_once() {
+fn removals_after_the_grace_period_apply_at_once() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -67,9 +69,9 @@
     assert_eq!(registry.remove(seconds(18.0), "i-1"), Some(Change::Gone("i-1".into())));
 }
 
-/// Guards against a router's own fault that is taken for an outage in which entries lapse.
+/// Guards against taking a fault of this router for an outage of the store in which entries expire.
 #[test]
-fn an_outage_of_one_router_gives_no_grace() {
+fn an_outage_of_one_router_gives_no_grace_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -83,7 +85,7 @@
     Upstream { started, ..upstream(id) }
 }
 
-/// Guards against taking a replica that started again under its identifier for the one before.
+/// Guards against keeping the state of a replica that has restarted under the same identifier.
 #[test]
 fn a_later_start_is_told_apart_from_the_one_before() {
     let mut registry = Registry::new();
@@ -93,7 +95,7 @@
     assert_eq!(registry.put(later), None);
 }
 
-/// Guards against a slow router or a stale read that brings an ended replica back.
+/// Guards against an entry from a slow router or a stale read that replaces that of a later start.
 #[test]
 fn an_entry_of_an_earlier_start_is_ignored() {
     let mut registry = Registry::new();
@@ -104,9 +106,9 @@
     assert_eq!(registry.upstreams().collect::<Vec<_>>(), [&known]);
 }
 
-/// Guards against requests to a replica by an entry that somebody else wrote over its own.
+/// Guards against requests to a replica whose entry was overwritten by someone else.
 #[test]
-fn an_entry_that_cannot_be_read_suspends_its_replica_until_it_can() {
+fn an_undecodable_entry_suspends_its_replica_until_it_can_be_decoded() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.put(upstream("i-2"));
@@ -116,9 +118,9 @@
     assert_eq!(registry.put(upstream("i-1")), Some(Change::Serving(upstream("i-1"))));
 }
 
-/// Guards against a grace period for a replica whose last entry was not its own.
+/// Guards against a grace period for a replica whose last entry was written by someone else.
 #[test]
-fn a_suspended_replica_that_is_removed_is_gone_at_once() {
+fn a_suspended_replica_gets_no_grace_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -127,9 +129,9 @@
     assert_eq!(registry.remove(seconds(15.1), "i-1"), Some(Change::Gone("i-1".into())));
 }
 
-/// Guards against an entry without a start time that stands over one with it.
+/// Guards against an entry without a start time that replaces one with a start time.
 #[test]
-fn a_replica_that_says_when_it_started_always_does() {
+fn an_entry_that_lacks_the_known_start_time_suspends_its_replica() {
     let mut registry = Registry::new();
     registry.put(started("i-1", 1_000));
     assert_eq!(registry.put(upstream("i-1")), Some(Change::Suspended("i-1".into())));
