--- a/teaselworks_policy/tests/connecting.rs
+++ b/teaselworks_policy/tests/connecting.rs
@@ -1,27 +1,30 @@
-//! How long a router waits for connections.
+//! Tests of the timeout for opening a connection.
 
 use std::time::Duration;
 
 use teaselworks_policy::upstream::ConnectTimes;
 
-fn times(usual_ms: u64) -> ConnectTimes {
+/// Returns the state after many connections that took `mean_ms` each.
+fn times(mean_ms: u64) -> ConnectTimes {
     let mut times = ConnectTimes::default();
     for _ in 0..50 {
-        times.on_opened(Duration::from_millis(usual_ms));
+        times.on_opened(Duration::from_millis(mean_ms));
     }
     times
 }
 
-/// Guards against requests that wait at a dark replica for longer than their callers aim at.
+/// Guards against requests that exceed their target latency while they wait for a connection to a
+/// replica whose host does not respond.
 #[test]
-fn a_dark_replica_is_left_soon_where_connections_are_quick() {
+fn the_timeout_is_short_where_connections_open_quickly() {
     assert_eq!(times(2).timeout(), Duration::from_millis(100));
     assert_eq!(times(60).timeout(), Duration::from_millis(400));
 }
 
-/// Guards against a router whose own link turned slow and that gives up every connection.
+/// Guards against a router whose own link has become slow and that abandons every connection,
+/// because the timeout follows connections from before.
 #[test]
-fn nothing_but_failures_lengthens_the_wait_until_a_connection_is_open() {
+fn consecutive_timeouts_raise_the_timeout_until_a_connection_opens() {
     let mut times = times(2);
     for _ in 0..4 {
         assert_eq!(times.timeout(), Duration::from_millis(100));
@@ -29,8 +32,5 @@
     }
     assert_eq!(times.timeout(), Duration::from_millis(400));
     times.on_opened(Duration::from_millis(300));
-    assert!(
-        times.timeout() > Duration::from_millis(300),
-        "links that are slow stay so for a while"
-    );
+    assert!(times.timeout() > Duration::from_millis(300), "a slow link stays slow for a while");
 }
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -1,4 +1,4 @@
-//! Loads and failures of replicas that routers tell each other.
+//! Tests of the loads and failures of replicas that routers share with each other.
 
 use std::time::{Duration, SystemTime};
 
@@ -21,25 +21,28 @@
     fleet
 }
 
-fn load_at(fleet: &Fleet, now: Duration) -> Option<Duration> {
+/// Returns the age of the load report that a router knows of its only replica.
+fn known_report_age(fleet: &Fleet, now: Duration) -> Option<Duration> {
     fleet.pool("service").unwrap().members()[0].load.report_age(now)
 }
 
-/// Guards against an older word of another router that takes the place of a later one.
+/// Guards against an older report, passed on by another router, that replaces a later one.
 #[test]
-fn the_later_report_stands() {
-    let usual = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
+fn the_later_report_is_kept() {
+    let average = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
     load.report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
     load.apply_shared_load(11 * SECOND, 9, 2 * SECOND);
-    assert_eq!(load.estimate(11 * SECOND, &usual).round(), 5.0);
+    assert_eq!(load.estimate(11 * SECOND, &average).round(), 5.0);
     load.apply_shared_load(12 * SECOND, 9, SECOND / 2);
     assert_eq!(load.report_age(12 * SECOND), Some(SECOND / 2));
-    assert_eq!(load.estimate(12 * SECOND, &usual).round(), 9.0);
+    assert_eq!(load.estimate(12 * SECOND, &average).round(), 9.0);
 }
 
+/// Guards against a router that estimates loads without the reports that other routers received:
+/// the router that reads the store for it passes them on.
 #[test]
-fn a_load_reaches_a_router_that_did_not_hear_it() {
+fn a_load_report_reaches_routers_through_a_reader() {
     let upstream = Upstream::example("i-1", "service");
     let (mut near, mut reader, mut far) = (
         fleet(std::slice::from_ref(&upstream)),
@@ -51,19 +54,20 @@
     reader.hear(SECOND * 3 / 2, &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true));
     assert!(
         reader.sightings_after(2 * SECOND, Duration::ZERO, true).is_empty(),
-        "it is not its own"
+        "the report was received by another router"
     );
     far.hear(2 * SECOND, &reader.sightings_after(2 * SECOND, Duration::ZERO, false));
-    assert_eq!(load_at(&far, 2 * SECOND), Some(SECOND));
+    assert_eq!(known_report_age(&far, 2 * SECOND), Some(SECOND));
     assert!(
         reader.sightings_after(3 * SECOND, 2 * SECOND, false).is_empty(),
-        "it was told already"
+        "the report was shared before"
     );
 }
 
-/// Guards against the load of a replica's earlier start that is told of a later one.
+/// Guards against applying a load report of an earlier start of a replica to a later start: a
+/// router that has not seen the restart yet still shares the report.
 #[test]
-fn a_load_of_an_earlier_start_is_not_taken() {
+fn a_load_report_of_an_earlier_start_is_ignored() {
     let before = Upstream::example("i-1", "service");
     let started = Some(SystemTime::UNIX_EPOCH + SECOND);
     let after = Upstream { started, ..before.clone() };
@@ -72,10 +76,10 @@
     let report = LoadReport { running: 7, waiting: 1 };
     slow.report(SECOND, "service", &before.incarnation(), report);
     current.hear(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
-    assert_eq!(load_at(&current, SECOND), None);
+    assert_eq!(known_report_age(&current, SECOND), None);
 }
 
-fn fail(fleet: &mut Fleet, now: Duration, times: u32) {
+fn fail_requests(fleet: &mut Fleet, now: Duration, times: u32) {
     let upstream = Upstream::example("i-1", "service").incarnation();
     for _ in 0..times {
         fleet.end(now, "service", &upstream, Some(RequestOutcome::NoAnswer), SECOND / 10);
@@ -86,53 +90,60 @@
     fleet.pool("service").unwrap().members()[0].health.is_usable(now)
 }
 
-fn tell(from: &Fleet, to: &mut Fleet, now: Duration, after: Duration) -> usize {
+/// Shares a router's own observations; returns the number of replicas ejected or readmitted for
+/// them.
+fn share_observations(from: &Fleet, to: &mut Fleet, now: Duration, after: Duration) -> usize {
     to.hear(now, &from.sightings_after(now, after, true)).len()
 }
 
-/// Guards against many routers that each find a silent replica by themselves, and against one that
-/// stays ejected though another router is answered there.
+/// Guards against an unresponsive replica that each of many routers has to detect by itself, and
+/// against one that stays ejected although it has answered another router.
 #[test]
-fn failures_at_two_routers_eject_a_replica_at_a_third_until_one_is_answered() {
+fn failures_at_two_routers_eject_a_replica_at_a_third_until_it_answers() {
     let upstream = Upstream::example("i-1", "service");
     let fleets = || fleet(std::slice::from_ref(&upstream));
     let (mut first, mut second, mut third) = (fleets(), fleets(), fleets());
     let now = 5 * SECOND;
-    fail(&mut first, now, 2);
-    fail(&mut second, now, 2);
-    assert_eq!(tell(&first, &mut third, now, SECOND), 0, "one router may be cut off");
-    assert_eq!(tell(&second, &mut third, now, SECOND), 1);
+    fail_requests(&mut first, now, 2);
+    fail_requests(&mut second, now, 2);
+    assert_eq!(
+        share_observations(&first, &mut third, now, SECOND),
+        0,
+        "one router may be cut off from the replica"
+    );
+    assert_eq!(share_observations(&second, &mut third, now, SECOND), 1);
     assert!(!is_usable(&third, now));
     let later = now + SECOND / 2;
     first.report(later, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
-    assert_eq!(tell(&first, &mut third, later, now), 1);
+    assert_eq!(share_observations(&first, &mut third, later, now), 1);
     assert!(is_usable(&third, later));
 }
 
-/// Guards against routers that are cut off from a replica and take it from those that reach it.
+/// Guards against a router that is cut off from a replica and whose failures eject the replica at
+/// routers that can reach it.
 #[test]
-fn failures_of_what_was_sent_before_a_replica_was_heard_of_eject_nothing() {
+fn failures_of_requests_sent_before_the_replica_responded_eject_nothing() {
     let upstream = Upstream::example("i-1", "service");
     let (mut cut_off, mut near) =
         (fleet(std::slice::from_ref(&upstream)), fleet(std::slice::from_ref(&upstream)));
     let now = 5 * SECOND;
-    fail(&mut cut_off, now, 8);
+    fail_requests(&mut cut_off, now, 8);
     near.report(now, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
-    assert_eq!(tell(&cut_off, &mut near, now, SECOND), 0);
+    assert_eq!(share_observations(&cut_off, &mut near, now, SECOND), 0);
     assert!(is_usable(&near, now));
 }
 
-/// Guards against a replica of a hot key that is taken to be loaded as usual until it says otherwise,
-/// while every router sends it more.
+/// Guards against a replica that gets the requests for a hot key from every router and is estimated
+/// to have an average load until it reports.
 #[test]
 fn more_own_requests_than_usual_speak_for_more_of_others() {
-    let usual = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
+    let average = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
     let mut load = Load::default();
-    let idle = load.estimate(SECOND, &usual);
+    let idle = load.estimate(SECOND, &average);
     load.begin_request();
     load.begin_request();
-    let busy = load.estimate(SECOND, &usual);
+    let busy = load.estimate(SECOND, &average);
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
     load.report(SECOND, LoadReport { running: 3, waiting: 0 });
-    assert_eq!(load.estimate(SECOND, &usual), 3.0, "a report goes before a guess");
+    assert_eq!(load.estimate(SECOND, &average), 3.0, "a report takes precedence over the average");
 }
