--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -210,7 +210,7 @@
             in_flight.observe(RequestOutcome::Answered);
             return Received::Whole(whole);
         }
-        in_flight.observe(RequestOutcome::ErrorAnswer);
+        in_flight.observe(RequestOutcome::Error);
         Received::Failed(Failure::Failed, Some(whole))
     }
 
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -189,7 +189,7 @@
     match failure {
         // A replica that is full and one that is ill turn requests away alike; against its peers the
         // ill one does so more often.
-        Failure::Rejected | Failure::Failed => RequestOutcome::ErrorAnswer,
+        Failure::Rejected | Failure::Failed => RequestOutcome::Error,
         Failure::Unreachable
         | Failure::NotSent
         | Failure::Moved
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -211,7 +211,7 @@
             let answer = match attempt.run(body, size_bytes).await {
                 Ok(answer) if answer.status == self.status => answer,
                 Ok(_) => {
-                    in_flight.observe(RequestOutcome::ErrorAnswer);
+                    in_flight.observe(RequestOutcome::Error);
                     failure = Failure::Failed;
                     continue;
                 }
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -230,7 +230,7 @@
             self.outcome.totals.shared_tokens += shared_tokens;
             return;
         }
-        self.end(call, Some(RequestOutcome::ErrorAnswer));
+        self.end(call, Some(RequestOutcome::Error));
         let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
         let retry_after = self.routers[router].return_after(self.now, SERVICE, latest);
         self.refuse(call, retry_after);
--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -22,7 +22,7 @@
     /// The upstream answered the request.
     Answered,
     /// The upstream answered with an error or rejected the request.
-    ErrorAnswer,
+    Error,
     /// No valid answer was received: the upstream could not be reached, closed the connection
     /// early, did not respond, or sent something that is not an answer to the request.
     NoAnswer,
@@ -68,7 +68,7 @@
         self.failure_rate += LATEST_WEIGHT * (failed - self.failure_rate);
         self.consecutive_unanswered = match outcome {
             RequestOutcome::NoAnswer => self.consecutive_unanswered + 1,
-            RequestOutcome::Answered | RequestOutcome::ErrorAnswer => 0,
+            RequestOutcome::Answered | RequestOutcome::Error => 0,
         };
         let was_probing = std::mem::take(&mut self.is_probing);
         if outcome == RequestOutcome::Answered {
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -210,7 +210,7 @@
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
-            Some(RequestOutcome::Answered | RequestOutcome::ErrorAnswer) => {
+            Some(RequestOutcome::Answered | RequestOutcome::Error) => {
                 member.reachability.on_response(now)
             }
             Some(RequestOutcome::NoAnswer) => {
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -48,7 +48,7 @@
     let mut health = Health::default();
     for number in 0..200 {
         let outcome =
-            if number % 7 == 0 { RequestOutcome::ErrorAnswer } else { RequestOutcome::Answered };
+            if number % 7 == 0 { RequestOutcome::Error } else { RequestOutcome::Answered };
         assert!(!health.observe(SECOND, outcome, 0.14));
     }
 }
@@ -57,7 +57,7 @@
 #[test]
 fn a_replica_that_fails_more_than_its_peers_is_ejected() {
     let mut health = Health::default();
-    let ejected = (0..20).any(|_| health.observe(SECOND, RequestOutcome::ErrorAnswer, 0.05));
+    let ejected = (0..20).any(|_| health.observe(SECOND, RequestOutcome::Error, 0.05));
     assert!(ejected);
 }
 
