--- a/teaselworks_policy/src/upstream/reachability.rs
+++ b/teaselworks_policy/src/upstream/reach.rs
@@ -35,7 +35,7 @@
 
 impl Reachability {
     /// Records the failure of a request that this router sent at `sent_at`.
-    pub fn on_failure(&mut self, now: Duration, sent_at: Duration) {
+    pub fn on_failed(&mut self, now: Duration, sent_at: Duration) {
         self.add(now, Failures { count: 1, sent_at, received_at: now, is_own: true });
     }
 
