--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -15,8 +15,8 @@
 use crate::stop::{Arrival, StopPlan};
 use crate::times::RouteTimes;
 use crate::upstream::{
-    Change, ConnectTimes, HeardOf, Incarnation, Judged, LoadReport, Pool, Sightings, Symptom,
-    Upstream,
+    Change, ConnectTimes, EjectionChange, Incarnation, LoadReport, ObservationIndex, Pool,
+    RequestOutcome, SharedObservations, Upstream,
 };
 use crate::verdict::{Refusal, RefusalReason};
 
@@ -190,7 +190,7 @@
         };
         match place(pool, now, demand, &settings, &mut self.random) {
             Ok(placement) => {
-                pool.begin(now, &placement.upstream.incarnation());
+                pool.begin_request(now, &placement.upstream.incarnation());
                 pool.returns.on_placed(now);
                 Ok(placement)
             }
@@ -218,24 +218,33 @@
 
     /// Returns what was heard of replicas after a time, for other routers; `only_own` leaves out what
     /// others said.
-    pub fn sightings_after(&self, now: Duration, after: Duration, only_own: bool) -> Sightings {
-        let mut sightings = Sightings::default();
+    pub fn sightings_after(
+        &self,
+        now: Duration,
+        after: Duration,
+        only_own: bool,
+    ) -> SharedObservations {
+        let mut observations = SharedObservations::default();
         for pool in self.pools.values() {
-            sightings.extend(pool.sightings_after(now, after, only_own));
+            observations.extend(pool.observations_after(now, after, only_own));
         }
-        sightings
+        observations
     }
 
     /// Takes what another router heard of replicas; returns those that are ejected or in use again
     /// for it.
     ///
     /// Answers many routers before many replicas, of which each hears from one only now and then.
-    pub fn hear(&mut self, now: Duration, sightings: &Sightings) -> Vec<Judged> {
-        if sightings.is_empty() {
+    pub fn hear(
+        &mut self,
+        now: Duration,
+        observations: &SharedObservations,
+    ) -> Vec<EjectionChange> {
+        if observations.is_empty() {
             return Vec::new();
         }
-        let heard = HeardOf::from(sightings);
-        self.pools.values_mut().flat_map(|pool| pool.hear(now, &heard)).collect()
+        let heard = ObservationIndex::from(observations);
+        self.pools.values_mut().flat_map(|pool| pool.apply_observations(now, &heard)).collect()
     }
 
     /// Takes a request off a replica that held it for a time; tells whether the replica is ejected.
@@ -244,10 +253,12 @@
         now: Duration,
         service: &str,
         incarnation: &Incarnation,
-        symptom: Option<Symptom>,
+        outcome: Option<RequestOutcome>,
         held: Duration,
     ) -> bool {
-        self.pools.get_mut(service).is_some_and(|pool| pool.end(now, incarnation, symptom, held))
+        self.pools
+            .get_mut(service)
+            .is_some_and(|pool| pool.end_request(now, incarnation, outcome, held))
     }
 
     /// Returns when a caller whose request replicas turned away should come back.
@@ -262,7 +273,7 @@
     pub fn first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
         let routers = self.membership.live();
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.first_byte(now, waited, routers);
+            pool.on_first_byte(now, waited, routers);
         }
     }
 }
