--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -83,9 +83,9 @@
     let store = || Store::new(settings.platform.address);
 
     let fallback = PeerFallback::new(shared.clone(), seed());
-    let news_age = settings.bounds.news_age();
+    let max_staleness = settings.bounds.max_staleness();
     tokio::spawn(
-        Follower::new(store(), learner.clone(), fallback, metrics.clone(), news_age).run(),
+        Follower::new(store(), learner.clone(), fallback, metrics.clone(), max_staleness).run(),
     );
     let peers = settings.listen.peers.unwrap_or(settings.listen.callers);
     let shortest_lease = Duration::from_millis(settings.platform.shortest_lease_ms);
--- a/teaselworks/src/settings/document.rs
+++ b/teaselworks/src/settings/document.rs
@@ -1,13 +1,13 @@
-//! JSON with comments that remembers on which line each field stands.
+//! Parser for JSON with comments that keeps the source position of every field.
 
 use jsonc_parser::ast;
 use jsonc_parser::common::{Range, Ranged};
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 use serde_json::Value;
 
-use super::fault::{Fault, Faults, FieldPath, Finding, Step};
+use super::fault::{Fault, Faults, FieldPath, Finding, PathSegment};
 
-/// A document of JSON with comments and trailing commas.
+/// A parsed JSON document that may contain comments and trailing commas.
 #[derive(Debug)]
 pub struct Document<'a> {
     file: &'a str,
@@ -16,10 +16,11 @@
 }
 
 impl<'a> Document<'a> {
-    /// Parses `text`; `file` is the name in faults.
+    /// Parses `text`; faults name the file as `file`.
     ///
-    /// Fails with the first syntax error, or with every member that occurs twice: the parser would
-    /// silently take one of them, and the operator would see the other.
+    /// Fails with the first syntax error, or with a fault for every key that occurs twice in an
+    /// object: the parser would silently use one of the two values, and the operator might read the
+    /// other one.
     ///
     /// ```
     /// use teaselworks::settings::Document;
@@ -29,7 +30,7 @@
     /// assert_eq!(Document::parse("a.jsonc", "{\n\"a\" 1 }").unwrap_err().0[0].line, 2);
     /// ```
     pub fn parse(file: &'a str, text: &'a str) -> Result<Self, Faults> {
-        let parsed = parse_to_ast(text, &CollectOptions::default(), &options());
+        let parsed = parse_to_ast(text, &CollectOptions::default(), &parse_options());
         let syntax_fault = |line, column, problem: String| Fault {
             file: file.into(),
             line,
@@ -50,12 +51,12 @@
             return Err(syntax_fault(1, 1, "The document is empty".into()).into());
         };
         let document = Self { file, text, root };
-        let mut repeated = Vec::new();
-        document.collect_repeated(&document.root, &FieldPath::default(), &mut repeated);
-        if repeated.is_empty() { Ok(document) } else { Err(Faults(repeated)) }
+        let mut duplicates = Vec::new();
+        document.collect_duplicate_keys(&document.root, &FieldPath::default(), &mut duplicates);
+        if duplicates.is_empty() { Ok(document) } else { Err(Faults(duplicates)) }
     }
 
-    /// Returns the document as a JSON value without comments.
+    /// Converts the document to a JSON value; comments are dropped.
     ///
     /// ```
     /// use teaselworks::settings::Document;
@@ -67,47 +68,49 @@
         self.root.clone().into()
     }
 
-    /// Turns a finding into a fault with file, line and column.
+    /// Converts a finding to a fault with file, line and column.
     ///
-    /// An absent field is placed at the nearest object around it.
+    /// The fault of an absent field points to the innermost object or array on its path that exists.
     ///
     /// ```
     /// use teaselworks::settings::Document;
     /// use teaselworks::settings::{FieldPath, Finding};
     ///
     /// let document = Document::parse("a.jsonc", "{\n  \"a\": 1\n}").unwrap();
-    /// let fault = document.place(Finding::new(FieldPath::of(&["a"]), "is odd"));
+    /// let fault = document.locate(Finding::new(FieldPath::from_keys(&["a"]), "is odd"));
     /// assert_eq!(fault.to_string(), "a.jsonc:2:3: a: is odd");
     /// ```
-    pub fn place(&self, finding: Finding) -> Fault {
+    pub fn locate(&self, finding: Finding) -> Fault {
         self.fault_at(self.range_of(&finding.path), &finding.path, finding.problem)
     }
 
-    /// Turns findings into faults in the order of their lines.
+    /// Converts findings to faults, sorted by line and column.
     ///
     /// ```
     /// use teaselworks::settings::Document;
     ///
     /// let document = Document::parse("a.jsonc", "{}").unwrap();
-    /// assert!(document.place_all(Vec::new()).0.is_empty());
+    /// assert!(document.locate_all(Vec::new()).0.is_empty());
     /// ```
-    pub fn place_all(&self, findings: Vec<Finding>) -> Faults {
-        let mut faults: Vec<Fault> = findings.into_iter().map(|one| self.place(one)).collect();
+    pub fn locate_all(&self, findings: Vec<Finding>) -> Faults {
+        let mut faults: Vec<Fault> =
+            findings.into_iter().map(|finding| self.locate(finding)).collect();
         faults.sort_by_key(|fault| (fault.line, fault.column));
         Faults(faults)
     }
 
+    /// Returns the source range of the field at `path`, or of its innermost existing ancestor.
     fn range_of(&self, path: &FieldPath) -> Range {
         let mut value = &self.root;
         let mut range = value.range();
-        for step in &path.steps {
-            match (step, value) {
-                (Step::Key(key), ast::Value::Object(object)) => {
+        for segment in &path.segments {
+            match (segment, value) {
+                (PathSegment::Key(key), ast::Value::Object(object)) => {
                     let Some(member) = object.get(key) else { break };
                     range = member.range;
                     value = &member.value;
                 }
-                (Step::Index(index), ast::Value::Array(array)) => {
+                (PathSegment::Index(index), ast::Value::Array(array)) => {
                     let Some(element) = array.elements.get(*index) else { break };
                     range = element.range();
                     value = element;
@@ -130,22 +133,28 @@
         }
     }
 
-    fn collect_repeated(&self, value: &ast::Value<'_>, path: &FieldPath, faults: &mut Vec<Fault>) {
+    /// Appends a fault for every duplicate key in `value`, which is at `path`.
+    fn collect_duplicate_keys(
+        &self,
+        value: &ast::Value<'_>,
+        path: &FieldPath,
+        faults: &mut Vec<Fault>,
+    ) {
         match value {
             ast::Value::Object(object) => {
                 let mut seen = std::collections::HashSet::new();
                 for member in &object.properties {
                     let name = member.name.as_str();
-                    let path = path.key(name);
+                    let path = path.child_key(name);
                     if !seen.insert(name) {
                         faults.push(self.fault_at(member.range, &path, "occurs twice".into()));
                     }
-                    self.collect_repeated(&member.value, &path, faults);
+                    self.collect_duplicate_keys(&member.value, &path, faults);
                 }
             }
             ast::Value::Array(array) => {
                 for (index, element) in array.elements.iter().enumerate() {
-                    self.collect_repeated(element, &path.index(index), faults);
+                    self.collect_duplicate_keys(element, &path.child_index(index), faults);
                 }
             }
             _ => {}
@@ -153,7 +162,8 @@
     }
 }
 
-fn options() -> ParseOptions {
+/// Returns the syntax extensions that settings files may use: comments and trailing commas only.
+fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
--- a/teaselworks/src/settings/fault.rs
+++ b/teaselworks/src/settings/fault.rs
@@ -1,159 +1,162 @@
-//! Faults of settings: where each stands and what is wrong.
+//! Faults in a settings file, with their position and field.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Faults after which a search ends: more are not read at once.
-pub const FAULTS_MAX: usize = 64;
+/// Maximum number of faults in one report: an operator does not read more of them at once.
+pub const MAX_FAULTS: usize = 64;
 
-/// One step from a JSON value to a value inside it.
+/// One segment of a [`FieldPath`], leading from a JSON value to a direct child.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// Member of an object.
+pub enum PathSegment {
+    /// Key of an object member.
     Key(String),
-    /// Element of an array, from 0.
+    /// Index of an array element, from 0.
     Index(usize),
 }
 
-/// Way from the root of a JSON document to a value in it; may lead to a member that is absent.
+/// Path from the root of a JSON document to a value in it, which may be absent.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FieldPath {
-    /// Steps from the root on.
-    pub steps: Vec<Step>,
+    /// Segments of the path, from the root.
+    pub segments: Vec<PathSegment>,
 }
 
 impl FieldPath {
-    /// Makes a path of object members.
+    /// Creates a path of object keys.
     ///
     /// ```
     /// use teaselworks::settings::FieldPath;
     ///
-    /// assert_eq!(FieldPath::of(&["listen", "callers"]).to_string(), "listen.callers");
+    /// assert_eq!(FieldPath::from_keys(&["listen", "callers"]).to_string(), "listen.callers");
     /// ```
-    pub fn of(keys: &[&str]) -> Self {
-        Self { steps: keys.iter().map(|key| Step::Key((*key).into())).collect() }
+    pub fn from_keys(keys: &[&str]) -> Self {
+        Self { segments: keys.iter().map(|key| PathSegment::Key((*key).into())).collect() }
     }
 
-    /// Returns the path with a member appended.
+    /// Returns the path with an object key appended.
     ///
     /// ```
     /// use teaselworks::settings::FieldPath;
     ///
-    /// assert_eq!(FieldPath::default().key("log").key("level").to_string(), "log.level");
+    /// assert_eq!(FieldPath::default().child_key("log").child_key("level").to_string(), "log.level");
     /// ```
-    pub fn key(&self, key: &str) -> Self {
-        let mut steps = self.steps.clone();
-        steps.push(Step::Key(key.into()));
-        Self { steps }
+    pub fn child_key(&self, key: &str) -> Self {
+        let mut segments = self.segments.clone();
+        segments.push(PathSegment::Key(key.into()));
+        Self { segments }
     }
 
-    /// Returns the path with an array element appended.
+    /// Returns the path with an array index appended.
     ///
     /// ```
     /// use teaselworks::settings::FieldPath;
     ///
-    /// assert_eq!(FieldPath::of(&["seeds"]).index(2).to_string(), "seeds[2]");
+    /// assert_eq!(FieldPath::from_keys(&["seeds"]).child_index(2).to_string(), "seeds[2]");
     /// ```
-    pub fn index(&self, index: usize) -> Self {
-        let mut steps = self.steps.clone();
-        steps.push(Step::Index(index));
-        Self { steps }
+    pub fn child_index(&self, index: usize) -> Self {
+        let mut segments = self.segments.clone();
+        segments.push(PathSegment::Index(index));
+        Self { segments }
     }
 
-    /// Tells whether `self` is `other` or leads through it.
+    /// Returns whether `self` equals `other` or is below it.
     ///
     /// ```
     /// use teaselworks::settings::FieldPath;
     ///
-    /// let secret = FieldPath::of(&["listen", "callers"]);
-    /// assert!(secret.is_within(&FieldPath::of(&["listen"])));
+    /// let address = FieldPath::from_keys(&["listen", "callers"]);
+    /// assert!(address.is_within(&FieldPath::from_keys(&["listen"])));
     /// ```
     pub fn is_within(&self, other: &FieldPath) -> bool {
-        self.steps.starts_with(&other.steps)
+        self.segments.starts_with(&other.segments)
     }
 }
 
 impl fmt::Display for FieldPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, step) in self.steps.iter().enumerate() {
-            match step {
-                Step::Key(key) if position == 0 => f.write_str(key)?,
-                Step::Key(key) => write!(f, ".{key}")?,
-                Step::Index(index) => write!(f, "[{index}]")?,
+        for (position, segment) in self.segments.iter().enumerate() {
+            match segment {
+                PathSegment::Key(key) if position == 0 => f.write_str(key)?,
+                PathSegment::Key(key) => write!(f, ".{key}")?,
+                PathSegment::Index(index) => write!(f, "[{index}]")?,
             }
         }
         Ok(())
     }
 }
 
-/// A fault known by the path of its field, not yet by its line.
+/// A fault in a field whose position in the file is not resolved yet.
+///
+/// [`Document::locate`](super::Document::locate) converts it to a [`Fault`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Field at fault.
+    /// Faulty field.
     pub path: FieldPath,
-    /// Other fields that the fault rests on.
-    pub others: Vec<FieldPath>,
-    /// What is wrong, as the rest of a sentence about the field.
+    /// Other fields that the faulty value conflicts with.
+    pub conflicts: Vec<FieldPath>,
+    /// Description of the problem, phrased as a predicate of the field, for instance "is zero".
     pub problem: String,
 }
 
 impl Finding {
-    /// Makes a finding about one field.
+    /// Creates a finding about one field.
     ///
     /// ```
     /// use teaselworks::settings::{FieldPath, Finding};
     ///
-    /// let finding = Finding::new(FieldPath::of(&["seeds"]), "is empty");
-    /// assert!(finding.others.is_empty());
+    /// let finding = Finding::new(FieldPath::from_keys(&["seeds"]), "is empty");
+    /// assert!(finding.conflicts.is_empty());
     /// ```
     pub fn new(path: FieldPath, problem: impl Into<String>) -> Self {
-        Self { path, others: Vec::new(), problem: problem.into() }
+        Self { path, conflicts: Vec::new(), problem: problem.into() }
     }
 
-    /// Returns the finding with one more field that it rests on.
+    /// Returns the finding with one more conflicting field.
     ///
     /// ```
     /// use teaselworks::settings::{FieldPath, Finding};
     ///
-    /// let finding = Finding::new(FieldPath::of(&["a"]), "is above b");
-    /// assert_eq!(finding.with(FieldPath::of(&["b"])).others.len(), 1);
+    /// let finding = Finding::new(FieldPath::from_keys(&["a"]), "is above b");
+    /// assert_eq!(finding.with_conflict(FieldPath::from_keys(&["b"])).conflicts.len(), 1);
     /// ```
-    pub fn with(mut self, other: FieldPath) -> Self {
-        self.others.push(other);
+    pub fn with_conflict(mut self, other: FieldPath) -> Self {
+        self.conflicts.push(other);
         self
     }
 
-    /// Tells whether the finding rests on a value at or below one of `paths`.
+    /// Returns whether the faulty field or a conflicting one is at or below one of `paths`.
     ///
     /// ```
     /// use teaselworks::settings::{FieldPath, Finding};
     ///
-    /// let finding = Finding::new(FieldPath::of(&["a", "b"]), "is zero");
-    /// assert!(finding.rests_on(&[FieldPath::of(&["a"])]));
+    /// let finding = Finding::new(FieldPath::from_keys(&["a", "b"]), "is zero");
+    /// assert!(finding.involves_any(&[FieldPath::from_keys(&["a"])]));
     /// ```
-    pub fn rests_on(&self, paths: &[FieldPath]) -> bool {
+    pub fn involves_any(&self, paths: &[FieldPath]) -> bool {
         paths.iter().any(|path| {
-            self.path.is_within(path) || self.others.iter().any(|other| other.is_within(path))
+            self.path.is_within(path)
+                || self.conflicts.iter().any(|conflict| conflict.is_within(path))
         })
     }
 }
 
-/// What is wrong with one field of a document.
+/// A problem in one field of a document, with its position.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Fault {
-    /// File name; empty where the document came from no file.
+    /// File name; empty if the document was not read from a file.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub file: String,
-    /// Line from 1; 0 where the document came from no file.
+    /// Line, from 1; 0 if unknown, as for a file that cannot be read.
     #[serde(skip_serializing_if = "is_zero")]
     pub line: usize,
-    /// Column in characters from 1; 0 where the document came from no file.
+    /// Column in characters, from 1; 0 if unknown, as for a file that cannot be read.
     #[serde(skip_serializing_if = "is_zero")]
     pub column: usize,
-    /// Field, as in `seeds[0]`; empty for the whole document.
+    /// Path of the field, for instance `seeds[0]`; empty for the whole document.
     pub field: String,
-    /// What is wrong, as the rest of a sentence about the field.
+    /// Description of the problem, phrased as a predicate of the field, for instance "is zero".
     pub problem: String,
 }
 
@@ -179,7 +182,7 @@
     }
 }
 
-/// All faults found in a document, in the order of its lines.
+/// All faults found in a document, sorted by line and column.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/teaselworks/src/settings/load.rs
+++ b/teaselworks/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reads settings from JSON with comments.
+//! Loads settings from JSON with comments.
 
 use std::path::Path;
 
@@ -7,9 +7,10 @@
 use super::{Document, Fault, Faults, Settings, check, typed};
 
 impl Settings {
-    /// Reads and checks the settings file at `path`.
+    /// Reads and validates the settings file at `path`.
     ///
-    /// Fails with every fault found, each with file, line and field.
+    /// Fails with all faults found. Each names the file, the line and the field; if the file cannot
+    /// be read, the single fault names only the file.
     ///
     /// ```
     /// use std::path::Path;
@@ -30,10 +31,11 @@
         Self::parse(&file, &text)
     }
 
-    /// Reads and checks settings from `text`; `file` is the name in faults.
+    /// Parses and validates settings from `text`; faults name the file as `file`.
     ///
-    /// Fails with every fault found: unknown and missing fields, wrong types, and values that
-    /// cannot work.
+    /// Fails with all faults found: unknown and missing fields, wrong types, and invalid values.
+    /// An unfilled template placeholder, a syntax error or duplicate keys are reported before any
+    /// other check runs.
     ///
     /// ```
     /// use teaselworks::settings::Settings;
@@ -43,29 +45,31 @@
     /// assert_eq!(unknown.line, 2);
     /// ```
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
-        if let Some(fault) = unfilled(file, text) {
+        if let Some(fault) = find_placeholder(file, text) {
             return Err(fault.into());
         }
         let document = Document::parse(file, text)?;
-        let reading = typed::read::<Settings>(document.value(), &template());
-        let mut findings = reading.findings;
-        let Some(settings) = reading.value else {
-            return Err(document.place_all(findings));
+        let deserialized = typed::from_json::<Settings>(document.value(), &substitutes());
+        let mut findings = deserialized.findings;
+        let Some(settings) = deserialized.value else {
+            return Err(document.locate_all(findings));
         };
-        let replaced: Vec<_> = findings.iter().map(|finding| finding.path.clone()).collect();
+        let substituted: Vec<_> = findings.iter().map(|finding| finding.path.clone()).collect();
         for finding in check::findings(&settings) {
-            // A replaced field is already reported; what contradicts its replacement is no fault.
-            if finding.rests_on(&replaced) {
+            // The fault of a substituted field is already reported, and a conflict with the
+            // substitute is not a fault of the file.
+            if finding.involves_any(&substituted) {
                 continue;
             }
             findings.push(finding);
         }
-        if findings.is_empty() { Ok(settings) } else { Err(document.place_all(findings)) }
+        if findings.is_empty() { Ok(settings) } else { Err(document.locate_all(findings)) }
     }
 }
 
-/// Returns the fault of a template whose placeholders nobody has filled in.
-fn unfilled(file: &str, text: &str) -> Option<Fault> {
+/// Returns a fault for the first `{{placeholder}}` in `text`, which marks a template that the
+/// platform has not filled in.
+fn find_placeholder(file: &str, text: &str) -> Option<Fault> {
     let start = text.find("{{")?;
     let placeholder = &text[start..start + text[start..].find("}}")? + 2];
     let before = &text[..start];
@@ -81,8 +85,8 @@
     })
 }
 
-/// Returns valid values of every required field, to put in place of those at fault.
-fn template() -> Value {
+/// Returns a valid value for every required field, to substitute for faulty ones.
+fn substitutes() -> Value {
     json!({
         "router": { "name": "name", "zone": "zone" },
         "listen": {
--- a/teaselworks/src/settings/mod.rs
+++ b/teaselworks/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one router, from a file of JSON with comments.
+//! Settings of one router, loaded from a JSON file with comments.
 
 mod check;
 mod document;
@@ -13,39 +13,40 @@
 use serde::Deserialize;
 
 pub use self::document::Document;
-pub use self::fault::{Fault, Faults, FieldPath, Finding, Step};
+pub use self::fault::{Fault, Faults, FieldPath, Finding, PathSegment};
 
 /// All settings of a router.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the router is.
+    /// Identity of the router.
     pub router: RouterSettings,
-    /// Addresses that it listens on.
+    /// Addresses that the router listens on.
     pub listen: ListenSettings,
-    /// Where the platform's store is.
+    /// Connection to the platform's store.
     pub platform: PlatformSettings,
-    /// Addresses of a few routers, to ask where the store does not answer; some may be stale.
+    /// Peer addresses of some other routers, queried when the store does not answer. Some of them
+    /// may be out of date.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// What the VM allows the process.
+    /// Resource limits of the process on its VM.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Bounds that the whole fleet keeps.
+    /// Time, retry and load bounds for the whole fleet.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// What is logged and how.
+    /// Format and minimum severity of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Who a router is.
+/// Identity of a router.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Name, unique in the fleet.
+    /// Name of the router, unique in the fleet.
     pub name: Arc<str>,
-    /// Availability zone of its VM.
+    /// Availability zone of the router's VM.
     pub zone: Arc<str>,
 }
 
@@ -53,69 +54,71 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Requests of callers.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// The balancer's question whether the router is ready.
+    /// Address for the load balancer's readiness checks.
     pub health: SocketAddr,
-    /// Questions of other routers; without it they cannot ask this one.
+    /// Address for queries of other routers; if unset, they cannot query this router.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
-    /// Counters and histograms as text.
+    /// Address of the metrics endpoint, which returns counters and histograms as text.
     pub metrics: SocketAddr,
 }
 
-/// Where the platform's store is.
+/// Connection to the platform's store.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Shortest lease that it grants.
-    #[serde(default = "shortest_lease_ms")]
+    /// Shortest lease that the store grants, in milliseconds.
+    #[serde(default = "default_shortest_lease_ms")]
     pub shortest_lease_ms: u64,
 }
 
-fn shortest_lease_ms() -> u64 {
+fn default_shortest_lease_ms() -> u64 {
     1_000
 }
 
-/// What the VM allows the process.
+/// Resource limits of the process on its VM.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Descriptors of files and sockets.
+    /// Maximum number of open file descriptors, including sockets.
     pub file_descriptors: u32,
 }
 
 impl Default for LimitSettings {
-    /// Returns the usual limit of a process.
+    /// Returns the usual default limit of a process.
     fn default() -> Self {
         Self { file_descriptors: 1_024 }
     }
 }
 
-/// Bounds that the whole fleet keeps.
+/// Time, retry and load bounds for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoundSettings {
-    /// Time from the request to stop until the process is killed.
+    /// Time from the stop signal until the process is killed, in seconds.
     pub stop_grace_s: f64,
-    /// Time from the acknowledgement of a configuration until it is in force everywhere.
+    /// Time from the acknowledgement of a configuration until every router applies it, in
+    /// milliseconds.
     pub configuration_ms: u64,
-    /// Time from the news that an upstream drains until it gets no new request.
+    /// Time from the announcement that an upstream drains until no router sends it new requests, in
+    /// milliseconds.
     pub draining_ms: u64,
-    /// Repeats for each request, summed over all routers.
+    /// Retries allowed per request, summed over all routers.
     pub retry_ratio: f64,
-    /// Repeats besides in each window, summed over all routers.
+    /// Additional retries allowed per window, summed over all routers.
     pub retry_slack: f64,
-    /// Length of the window in which repeats are counted.
+    /// Length of the window over which retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// Multiple of the mean load of a service that no upstream should exceed.
+    /// Maximum load of an upstream, as a multiple of the mean load of its service.
     pub load_factor: f64,
 }
 
 impl Default for BoundSettings {
-    /// Returns the strictest values that the users' deployments set.
+    /// Returns the strictest value of each bound that known deployments use.
     fn default() -> Self {
         Self {
             stop_grace_s: 8.0,
@@ -130,43 +133,45 @@
 }
 
 impl BoundSettings {
-    /// Returns the time from the request to stop until the process is killed.
+    /// Returns the time from the stop signal until the process is killed.
     pub fn stop_grace(&self) -> Duration {
         Duration::from_secs_f64(self.stop_grace_s)
     }
 
-    /// Returns the longest age that beliefs about the fleet may have.
+    /// Returns how far this router's view of the fleet may lag behind the store.
+    ///
+    /// This is the shorter of the bounds on applying a configuration and on draining an upstream.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks::settings::BoundSettings;
     ///
     /// let bounds = BoundSettings { draining_ms: 1_500, ..BoundSettings::default() };
-    /// assert_eq!(bounds.news_age(), Duration::from_millis(1_500));
+    /// assert_eq!(bounds.max_staleness(), Duration::from_millis(1_500));
     /// ```
-    pub fn news_age(&self) -> Duration {
+    pub fn max_staleness(&self) -> Duration {
         Duration::from_millis(self.configuration_ms.min(self.draining_ms))
     }
 }
 
-/// What is logged and how.
+/// Format and minimum severity of the log.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the log lines.
     pub format: LogFormat,
-    /// Least severity that is logged.
+    /// Minimum severity; less severe events are not logged.
     pub level: LogLevel,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for a reader.
+    /// Human-readable text.
     Text,
 }
 
@@ -174,11 +179,11 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Faults that need somebody.
+    /// Faults that need an operator's action.
     Error,
-    /// Faults that the router copes with.
+    /// Faults that the router handles by itself.
     Warn,
-    /// Decisions and changes of belief.
+    /// Routing decisions, and changes in the router's view of the fleet.
     #[default]
     Info,
     /// Details of connections.
--- a/teaselworks/src/settings/typed.rs
+++ b/teaselworks/src/settings/typed.rs
@@ -1,94 +1,106 @@
-//! Turns JSON into a type and finds every fault of it, not the first alone.
+//! Deserializes JSON into a type and reports all of its errors instead of only the first one.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use serde_path_to_error::Segment;
 
-use super::fault::{FAULTS_MAX, FieldPath, Finding, Step};
+use super::fault::{FieldPath, Finding, MAX_FAULTS, PathSegment};
 
-/// A typed value and what was wrong with the JSON that it was made from.
+/// Result of a deserialization that continues after errors.
 #[derive(Debug)]
-pub(crate) struct Reading<T> {
-    /// The value; where there are findings, with the fields at fault replaced by others.
+pub(crate) struct Deserialized<T> {
+    /// Deserialized value, or none where deserialization could not continue. If there are findings,
+    /// every faulty field holds a substitute.
     pub(crate) value: Option<T>,
-    /// What was wrong.
+    /// Errors in the JSON value.
     pub(crate) findings: Vec<Finding>,
 }
 
-/// Reads `json` as a `T`.
+/// Deserializes `json` as a `T`.
 ///
-/// The typed reader stops at its first error. To find the others, the field at fault is replaced
-/// by that of `template`, or removed where the template has none, and the value is read again.
-pub(crate) fn read<T: DeserializeOwned>(mut json: Value, template: &Value) -> Reading<T> {
+/// Serde stops at the first error. To find the others, the faulty field is replaced by the value at
+/// the same path in `substitutes`, or removed if there is none, and `json` is deserialized again.
+/// Gives up after [`MAX_FAULTS`] errors, or when a field fails again after its replacement.
+pub(crate) fn from_json<T: DeserializeOwned>(
+    mut json: Value,
+    substitutes: &Value,
+) -> Deserialized<T> {
     let mut findings: Vec<Finding> = Vec::new();
     loop {
         let error = match serde_path_to_error::deserialize::<_, T>(&json) {
-            Ok(value) => return Reading { value: Some(value), findings },
+            Ok(value) => return Deserialized { value: Some(value), findings },
             Err(error) => error,
         };
         let message = error.inner().to_string();
-        let mut path = path_of(error.path());
-        let missing = quoted(&message, "missing field `");
+        let mut path = field_path(error.path());
+        let missing = backquoted_after(&message, "missing field `");
         if let Some(name) = missing {
-            path = path.key(name);
+            path = path.child_key(name);
         }
-        let is_known = findings.iter().any(|finding| finding.path == path);
+        let is_reported = findings.iter().any(|finding| finding.path == path);
         let problem = if missing.is_some() { "is missing".into() } else { message };
-        if !is_known {
+        if !is_reported {
             findings.push(Finding::new(path.clone(), problem));
         }
-        if is_known || findings.len() == FAULTS_MAX || !replace(&mut json, &path, template) {
-            return Reading { value: None, findings };
+        if is_reported || findings.len() == MAX_FAULTS || !substitute(&mut json, &path, substitutes)
+        {
+            return Deserialized { value: None, findings };
         }
     }
 }
 
-fn quoted<'a>(message: &'a str, start: &str) -> Option<&'a str> {
-    message.strip_prefix(start)?.split('`').next()
+/// Returns the name that follows `prefix` in `message`, up to the next backquote.
+fn backquoted_after<'a>(message: &'a str, prefix: &str) -> Option<&'a str> {
+    message.strip_prefix(prefix)?.split('`').next()
 }
 
-fn path_of(path: &serde_path_to_error::Path) -> FieldPath {
-    let mut steps = Vec::new();
+/// Converts a Serde path to a [`FieldPath`]; stops at a segment that is neither key nor index.
+fn field_path(path: &serde_path_to_error::Path) -> FieldPath {
+    let mut segments = Vec::new();
     for segment in path.iter() {
         match segment {
-            Segment::Seq { index } => steps.push(Step::Index(*index)),
-            Segment::Map { key } => steps.push(Step::Key(key.clone())),
+            Segment::Seq { index } => segments.push(PathSegment::Index(*index)),
+            Segment::Map { key } => segments.push(PathSegment::Key(key.clone())),
             Segment::Enum { .. } | Segment::Unknown => break,
         }
     }
-    FieldPath { steps }
+    FieldPath { segments }
 }
 
-fn replace(json: &mut Value, path: &FieldPath, template: &Value) -> bool {
-    let Some((last, parents)) = path.steps.split_last() else { return false };
+/// Replaces the field at `path` by its substitute, or removes it from its object if there is none.
+///
+/// Returns whether `json` was changed.
+fn substitute(json: &mut Value, path: &FieldPath, substitutes: &Value) -> bool {
+    let Some((last, parents)) = path.segments.split_last() else { return false };
     let mut parent = json;
-    let mut parent_template = Some(template);
-    for step in parents {
-        parent_template = parent_template.and_then(|value| template_of(value, step));
-        let child = match step {
-            Step::Key(key) => parent.get_mut(key),
-            Step::Index(index) => parent.get_mut(*index),
+    let mut parent_substitutes = Some(substitutes);
+    for segment in parents {
+        parent_substitutes = parent_substitutes.and_then(|value| substitute_at(value, segment));
+        let child = match segment {
+            PathSegment::Key(key) => parent.get_mut(key),
+            PathSegment::Index(index) => parent.get_mut(*index),
         };
         let Some(child) = child else { return false };
         parent = child;
     }
-    let replacement = parent_template.and_then(|value| template_of(value, last)).cloned();
+    let replacement = parent_substitutes.and_then(|value| substitute_at(value, last)).cloned();
     match (last, parent, replacement) {
-        (Step::Key(key), Value::Object(members), Some(value)) => {
+        (PathSegment::Key(key), Value::Object(members), Some(value)) => {
             members.insert(key.clone(), value);
         }
-        (Step::Key(key), Value::Object(members), None) => {
+        (PathSegment::Key(key), Value::Object(members), None) => {
             members.remove(key);
         }
-        (Step::Index(index), Value::Array(elements), Some(value)) => elements[*index] = value,
+        (PathSegment::Index(index), Value::Array(items), Some(value)) => items[*index] = value,
         _ => return false,
     }
     true
 }
 
-fn template_of<'a>(template: &'a Value, step: &Step) -> Option<&'a Value> {
-    match step {
-        Step::Key(key) => template.get(key),
-        Step::Index(_) => template.get(0),
+/// Returns the substitute for a child; every index of an array maps to the first element.
+fn substitute_at<'a>(substitutes: &'a Value, segment: &PathSegment) -> Option<&'a Value> {
+    match segment {
+        PathSegment::Key(key) => substitutes.get(key),
+        PathSegment::Index(_) => substitutes.get(0),
     }
 }
