--- a/teaselworks/src/cli/events.rs
+++ b/teaselworks/src/cli/events.rs
@@ -1,18 +1,18 @@
-//! Prints the catalogue of log events.
+//! The `events` command, which prints the catalogue of log events.
 
 use std::io::Write;
 
 use clap::ArgMatches;
 use serde_json::json;
 
-use super::failure::Failure;
+use super::failure::CommandError;
 use crate::event;
 
-/// Prints every event.
-pub(super) fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Failure> {
+/// Prints every event, as text or as JSON.
+pub(super) fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), CommandError> {
     if matches.get_flag("json") {
-        let rows: Vec<_> = event::ALL.iter().map(row).collect();
-        return Ok(writeln!(out, "{:#}", json!(rows))?);
+        let events: Vec<_> = event::ALL.iter().map(event_json).collect();
+        return Ok(writeln!(out, "{:#}", json!(events))?);
     }
     for event in event::ALL {
         let level = event.level.as_str().to_lowercase();
@@ -21,7 +21,8 @@
     Ok(())
 }
 
-fn row(event: &event::Event) -> serde_json::Value {
+/// Returns the JSON object of one event.
+fn event_json(event: &event::Event) -> serde_json::Value {
     json!({
         "event": event.number,
         "level": event.level.as_str().to_lowercase(),
--- a/teaselworks/src/cli/exit.rs
+++ b/teaselworks/src/cli/exit.rs
@@ -2,25 +2,25 @@
 
 use std::process;
 
-/// How a command ended, for scripts.
+/// Exit code of a command, for scripts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitCode {
-    /// Done.
+    /// The command succeeded.
     Ok = 0,
-    /// Failed for a reason without a code of its own.
+    /// The command failed for a reason that has no exit code of its own.
     Failure = 1,
-    /// The command line could not be understood.
+    /// The command line is invalid.
     Usage = 2,
-    /// Settings were refused; nothing was started.
+    /// The settings file is invalid; nothing was started.
     Refused = 3,
 }
 
 impl ExitCode {
-    /// Every exit code, in the order of numbers.
+    /// All exit codes in numerical order.
     pub const ALL: [ExitCode; 4] =
         [ExitCode::Ok, ExitCode::Failure, ExitCode::Usage, ExitCode::Refused];
 
-    /// Returns the code's meaning for the manual.
+    /// Returns the meaning of the exit code, as shown in the help and the manual.
     ///
     /// ```
     /// use teaselworks::cli::ExitCode;
--- a/teaselworks/src/cli/failure.rs
+++ b/teaselworks/src/cli/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the commands and their exit codes.
 
 use std::fmt;
 use std::io;
@@ -9,69 +9,69 @@
 use crate::experiment::ExperimentError;
 use crate::settings::Faults;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug)]
-pub(super) enum Failure {
-    /// The output could not be written.
+pub(super) enum CommandError {
+    /// Standard output could not be written.
     Output(io::Error),
-    /// The settings are faulty.
+    /// The settings file is invalid.
     Settings(Faults),
     /// The router could not start.
     Start(StartError),
-    /// The experiment could not be made.
+    /// The experiment failed.
     #[cfg(feature = "experiment")]
     Experiment(ExperimentError),
-    /// There is no manual page of this name.
-    NoPage(String),
+    /// No manual page has this name.
+    UnknownPage(String),
 }
 
-impl Failure {
-    /// Returns the exit code.
+impl CommandError {
+    /// Returns the exit code for this error.
     pub(super) fn exit_code(&self) -> ExitCode {
         match self {
-            Failure::Settings(_) => ExitCode::Refused,
-            Failure::NoPage(_) => ExitCode::Usage,
-            Failure::Output(_) | Failure::Start(_) => ExitCode::Failure,
+            CommandError::Settings(_) => ExitCode::Refused,
+            CommandError::UnknownPage(_) => ExitCode::Usage,
+            CommandError::Output(_) | CommandError::Start(_) => ExitCode::Failure,
             #[cfg(feature = "experiment")]
-            Failure::Experiment(_) => ExitCode::Failure,
+            CommandError::Experiment(_) => ExitCode::Failure,
         }
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Output(error) => write!(f, "cannot write: {error}"),
-            Failure::Settings(faults) => write!(f, "{faults}"),
-            Failure::Start(error) => write!(f, "{error}"),
+            CommandError::Output(error) => write!(f, "cannot write to standard output: {error}"),
+            CommandError::Settings(faults) => write!(f, "{faults}"),
+            CommandError::Start(error) => write!(f, "{error}"),
             #[cfg(feature = "experiment")]
-            Failure::Experiment(error) => write!(f, "{error}"),
-            Failure::NoPage(page) => write!(f, "there is no page {page}"),
+            CommandError::Experiment(error) => write!(f, "{error}"),
+            CommandError::UnknownPage(page) => write!(f, "there is no manual page `{page}`"),
         }
     }
 }
 
-impl From<io::Error> for Failure {
+impl From<io::Error> for CommandError {
     fn from(error: io::Error) -> Self {
-        Failure::Output(error)
+        CommandError::Output(error)
     }
 }
 
-impl From<Faults> for Failure {
+impl From<Faults> for CommandError {
     fn from(faults: Faults) -> Self {
-        Failure::Settings(faults)
+        CommandError::Settings(faults)
     }
 }
 
 #[cfg(feature = "experiment")]
-impl From<ExperimentError> for Failure {
+impl From<ExperimentError> for CommandError {
     fn from(error: ExperimentError) -> Self {
-        Failure::Experiment(error)
+        CommandError::Experiment(error)
     }
 }
 
-impl From<StartError> for Failure {
+impl From<StartError> for CommandError {
     fn from(error: StartError) -> Self {
-        Failure::Start(error)
+        CommandError::Start(error)
     }
 }
--- a/teaselworks/src/cli/mod.rs
+++ b/teaselworks/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line interface: parses the arguments and runs the subcommand.
 
 mod check;
 mod command;
@@ -18,11 +18,11 @@
 
 pub use self::command::command;
 pub use self::exit::ExitCode;
-use self::failure::Failure;
+use self::failure::CommandError;
 
-/// Runs the command line `args`, whose first element is the program's name.
+/// Runs the program with the arguments `args`; the first one is the program name.
 ///
-/// Output goes to standard output, failures to standard error.
+/// Output goes to standard output, error messages to standard error.
 pub fn main_with<A>(args: impl IntoIterator<Item = A>) -> process::ExitCode
 where
     A: Into<OsString> + Clone,
@@ -32,27 +32,27 @@
         Err(error) => {
             let is_help =
                 matches!(error.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion);
-            // Where the terminal is gone nobody is left to tell.
+            // A closed terminal leaves no place to report the error.
             let _ = error.print();
             return if is_help { ExitCode::Ok } else { ExitCode::Usage }.into();
         }
     };
     let mut out = io::stdout();
-    let result = run(&matches, &mut out).and_then(|()| out.flush().map_err(Failure::from));
+    let result = run(&matches, &mut out).and_then(|()| out.flush().map_err(CommandError::from));
     match result {
         Ok(()) => ExitCode::Ok.into(),
-        // The reader, as `head`, has read enough.
-        Err(Failure::Output(error)) if error.kind() == io::ErrorKind::BrokenPipe => {
+        // A reader such as `head` closed the pipe after it had read enough, which is no error.
+        Err(CommandError::Output(error)) if error.kind() == io::ErrorKind::BrokenPipe => {
             ExitCode::Ok.into()
         }
-        Err(failure) => {
-            let _ = writeln!(io::stderr(), "{failure}");
-            failure.exit_code().into()
+        Err(error) => {
+            let _ = writeln!(io::stderr(), "{error}");
+            error.exit_code().into()
         }
     }
 }
 
-fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), Failure> {
+fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), CommandError> {
     match matches.subcommand() {
         Some(("router", matches)) => router::run(matches),
         Some(("check", matches)) => check::run(matches, out),
@@ -61,6 +61,6 @@
         Some(("experiment", matches)) => experiment::run(matches, out),
         Some(("completions", matches)) => command::write_completions(matches, out),
         Some(("man", matches)) => command::write_man(matches, out),
-        _ => unreachable!("clap requires one of the commands"),
+        _ => unreachable!("clap accepts only the defined commands and requires one"),
     }
 }
--- a/teaselworks/src/cli/router.rs
+++ b/teaselworks/src/cli/router.rs
@@ -1,26 +1,27 @@
-//! Runs a router.
+//! The `router` command, which runs a router.
 
 use std::path::PathBuf;
 
 use clap::ArgMatches;
 use tokio::runtime;
 
-use super::failure::Failure;
-use crate::daemon::{self, HangUps, StartError};
+use super::failure::CommandError;
+use crate::daemon::{self, ReloadSignal, StartError};
 use crate::event;
 use crate::settings::Settings;
 
-/// Runs a router with the settings that `matches` names.
-pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
-    let path = matches.get_one::<PathBuf>("settings").expect("a required argument");
-    // One thread: the VMs have a part of one core, and a second thread would only add switches.
+/// Runs a router with the settings file given in `matches` until a planned stop has ended.
+pub(super) fn run(matches: &ArgMatches) -> Result<(), CommandError> {
+    let path = matches.get_one::<PathBuf>("settings").expect("clap requires `settings`");
+    // The VMs provide less than one core, so a second thread would only add context switches.
     let runtime =
         runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
-    // Before anything that takes time: settings may change while the router starts.
-    let hang_ups = runtime.block_on(async { HangUps::catch() })?;
+    // The handler for SIGHUP must exist before the settings are read: they may change while the
+    // router starts, and an unhandled SIGHUP ends the process.
+    let reload_signal = runtime.block_on(async { ReloadSignal::install() })?;
     let settings = Settings::load(path)?;
     event::init(&settings.log);
-    let result = runtime.block_on(daemon::serve(path.clone(), settings, hang_ups));
+    let result = runtime.block_on(daemon::serve(path.clone(), settings, reload_signal));
     if let Err(error) = &result {
         event::START_FAILED.log(&[event::text("cause", error)]);
     }
--- a/teaselworks/src/daemon/error.rs
+++ b/teaselworks/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why a router could not start.
+//! Errors at the start of a router.
 
 use std::fmt;
 use std::io;
@@ -6,25 +6,25 @@
 
 use crate::kernel::ServiceError;
 
-/// Why a router could not start.
+/// Error that prevents a router from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// The runtime could not be made.
+    /// The async runtime could not be created.
     Runtime(io::Error),
-    /// An address could not be listened on.
+    /// The address of a listener could not be bound.
     Listen(SocketAddr, io::Error),
-    /// A signal could not be waited for.
+    /// A signal handler could not be installed.
     Signal(io::Error),
-    /// Services do not fit together.
+    /// A service is missing, registered twice, or of another type than expected.
     Service(ServiceError),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StartError::Runtime(error) => write!(f, "cannot start the runtime: {error}"),
+            StartError::Runtime(error) => write!(f, "cannot create the async runtime: {error}"),
             StartError::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
-            StartError::Signal(error) => write!(f, "cannot wait for signals: {error}"),
+            StartError::Signal(error) => write!(f, "cannot install a signal handler: {error}"),
             StartError::Service(error) => write!(f, "cannot start the services: {error}"),
         }
     }
--- a/teaselworks/src/daemon/mod.rs
+++ b/teaselworks/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The router as a process: start, reload and planned stop.
+//! Process of a router: start, reload of the settings, and planned stop.
 
 mod error;
 mod page;
@@ -8,5 +8,5 @@
 mod stop;
 
 pub use self::error::StartError;
-pub use self::reload::HangUps;
+pub use self::reload::ReloadSignal;
 pub use self::serve::serve;
--- a/teaselworks/src/daemon/page.rs
+++ b/teaselworks/src/daemon/page.rs
@@ -1,4 +1,4 @@
-//! Small pages for machines: readiness and metrics.
+//! HTTP server for plain-text pages: readiness and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,16 +15,18 @@
 
 use crate::net;
 
-/// Longest time that one connection may stay: those who ask come back every few seconds.
+/// Maximum lifetime of a connection. Health checks and metrics scrapers connect again every few
+/// seconds anyway.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a page says.
+/// Content of a page.
 pub(super) struct Page {
     pub(super) status: StatusCode,
     pub(super) text: String,
 }
 
-/// Answers each request on a port with the same page, made anew, until the process ends.
+/// Answers every request on `listener` with the result of `page`, whatever its method and path, until
+/// the process ends.
 pub(super) async fn serve(listener: TcpListener, page: impl Fn() -> Page + Send + Sync + 'static) {
     let page = Arc::new(page);
     loop {
@@ -36,12 +38,13 @@
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // Whoever asked and left gets no page.
+            // A client that disconnected or took too long needs no error handling.
             let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
         });
     }
 }
 
+/// Builds the plain-text response for a page.
 fn respond(page: Page) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(page.text)));
     *response.status_mut() = page.status;
--- a/teaselworks/src/daemon/reload.rs
+++ b/teaselworks/src/daemon/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when their file changes, with a signal or without.
+//! Reloads the settings on SIGHUP, or when their file changes.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,46 +12,52 @@
 use crate::relay::Shared;
 use crate::settings::Settings;
 
-/// Time between looks at the file for a change without a signal. Nothing that may change is needed
-/// sooner than the next planned work.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between checks of the settings file for a change without a signal. No setting that can be
+/// reloaded has to take effect before the next planned maintenance.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// SIGHUP, which tells that the settings changed; until it is caught it ends the process.
-pub struct HangUps(Signal);
+/// Handler for SIGHUP, which requests a reload of the settings.
+///
+/// SIGHUP ends the process until the handler is installed.
+pub struct ReloadSignal(Signal);
 
-impl HangUps {
-    /// Catches it; fails where the system refuses. Needs a runtime.
+impl ReloadSignal {
+    /// Installs the handler; must be called within a Tokio runtime.
+    ///
+    /// Fails if the operating system refuses the handler.
     ///
     /// ```
-    /// use teaselworks::daemon::HangUps;
+    /// use teaselworks::daemon::ReloadSignal;
     ///
     /// let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    /// assert!(runtime.block_on(async { HangUps::catch() }).is_ok());
+    /// assert!(runtime.block_on(async { ReloadSignal::install() }).is_ok());
     /// ```
-    pub fn catch() -> Result<Self, StartError> {
+    pub fn install() -> Result<Self, StartError> {
         Ok(Self(signal(SignalKind::hangup()).map_err(StartError::Signal)?))
     }
 }
 
-/// Watches the settings file until the process ends. Bounds and seeds take effect at once;
-/// addresses stay those that the router listens on.
+/// Reloads the settings on each SIGHUP and on each change of the file's modification time, until the
+/// process ends.
+///
+/// Bounds and seeds take effect at once; the router keeps its listen addresses until it restarts.
 pub(super) async fn run(
     path: PathBuf,
     mut in_force: Settings,
     shared: Arc<Shared>,
-    HangUps(mut hang_ups): HangUps,
+    ReloadSignal(mut reload_signal): ReloadSignal,
 ) {
-    let mut changed = changed_at(&path);
+    let mut last_modified = modified_at(&path);
     loop {
         let is_signalled = tokio::select! {
-            _ = hang_ups.recv() => true,
-            () = tokio::time::sleep(LOOK_INTERVAL) => false,
+            _ = reload_signal.recv() => true,
+            () = tokio::time::sleep(FILE_CHECK_INTERVAL) => false,
         };
-        let at = changed_at(&path);
-        if !is_signalled && at == changed {
+        let modified = modified_at(&path);
+        if !is_signalled && modified == last_modified {
             continue;
         }
-        changed = at;
+        last_modified = modified;
         match Settings::load(&path) {
             Ok(settings) if settings == in_force && !is_signalled => {}
             Ok(settings) => {
@@ -67,12 +73,14 @@
     }
 }
 
+/// Applies the settings that can change while the router runs.
 fn apply(shared: &Shared, settings: &Settings) {
     let mut fleet = shared.fleet();
     fleet.set_settings(fleet_settings(&settings.bounds));
     fleet.membership.set_seeds(settings.seeds.clone());
 }
 
-fn changed_at(path: &Path) -> Option<SystemTime> {
+/// Returns the modification time of the file, or none if it cannot be read.
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -1,4 +1,4 @@
-//! Starts every service of a router and waits for its planned stop.
+//! Starts all services of a router and runs them until a planned stop.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,8 +9,8 @@
 use tokio::net::TcpListener;
 
 use super::page::{self, Page};
-use super::services::{CACHE, LEARNER, METRICS, SHARED, register, seed};
-use super::{HangUps, StartError, reload, stop};
+use super::services::{CACHE, LEARNER, METRICS, SHARED, random_seed, register};
+use super::{ReloadSignal, StartError, reload, stop};
 use crate::beliefs::{Follower, Learner, PeerFallback, Registrar};
 use crate::event;
 use crate::kernel::{Registry, Shutdown, ShutdownPhase};
@@ -20,10 +20,11 @@
 use crate::relay::{CallerPort, Shared};
 use crate::settings::Settings;
 
-/// Time between looks for what has become too old: idle connections to upstreams, and upstreams
-/// that were missing for so long that they count as gone.
+/// Time between checks for expired state: idle connections to upstreams, and upstreams that have been
+/// missing for so long that they count as gone.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Listening sockets of a router, one for each listen address of the settings.
 struct Ports {
     callers: TcpListener,
     health: TcpListener,
@@ -31,11 +32,18 @@
     peers: Option<TcpListener>,
 }
 
-/// Runs a router until a planned stop has ended; reads its settings again with each of `hang_ups`.
-pub async fn serve(path: PathBuf, settings: Settings, hang_ups: HangUps) -> Result<(), StartError> {
+/// Runs a router until a planned stop has ended; reloads the settings from `path` on each SIGHUP.
+///
+/// Fails if a listen address cannot be bound, a signal handler cannot be installed, or a service
+/// cannot be found.
+pub async fn serve(
+    path: PathBuf,
+    settings: Settings,
+    reload_signal: ReloadSignal,
+) -> Result<(), StartError> {
     let shutdown = Shutdown::new();
     let registry = register(&settings, &shutdown)?;
-    let ports = open(&settings)?;
+    let ports = open_ports(&settings)?;
     let shared = registry.find(&SHARED)?;
     event::ROUTER_STARTED.log(&[
         event::text("router", &settings.router.name),
@@ -45,17 +53,18 @@
         event::text("build", &env!("CARGO_PKG_VERSION")),
     ]);
     let grace = settings.bounds.stop_grace();
-    let in_progress = start(&registry, &settings, ports, &shutdown)?;
-    let reloading = reload::run(path, settings, shared.clone(), hang_ups);
+    let in_progress = start_services(&registry, &settings, ports, &shutdown)?;
+    let reload_task = reload::run(path, settings, shared.clone(), reload_signal);
     tokio::select! {
-        requested = stop::requested() => requested?,
-        () = reloading => {}
+        signalled = stop::wait_for_signal() => signalled?,
+        () = reload_task => {}
     }
     stop::run(&shared, grace, in_progress).await;
     Ok(())
 }
 
-fn open(settings: &Settings) -> Result<Ports, StartError> {
+/// Binds all listen addresses.
+fn open_ports(settings: &Settings) -> Result<Ports, StartError> {
     let listen = &settings.listen;
     Ok(Ports {
         callers: listen_on(listen.callers)?,
@@ -69,8 +78,11 @@
     net::listen(address).map_err(|error| StartError::Listen(address, error))
 }
 
-/// Starts the services; returns the count of connections that a stop must not cut.
-fn start(
+/// Starts the services as tasks.
+///
+/// Returns a function that counts the open connections of callers, for which a planned stop waits. A
+/// connection accepted while the router drains counts only from its first request.
+fn start_services(
     registry: &Registry,
     settings: &Settings,
     ports: Ports,
@@ -80,17 +92,17 @@
     let metrics = registry.find(&METRICS)?;
     let cache = registry.find(&CACHE)?;
     let learner = registry.find(&LEARNER)?;
-    let store = || Store::new(settings.platform.address);
+    let new_store = || Store::new(settings.platform.address);
 
-    let fallback = PeerFallback::new(shared.clone(), seed());
+    let fallback = PeerFallback::new(shared.clone(), random_seed());
     let max_staleness = settings.bounds.max_staleness();
     tokio::spawn(
-        Follower::new(store(), learner.clone(), fallback, metrics.clone(), max_staleness).run(),
+        Follower::new(new_store(), learner.clone(), fallback, metrics.clone(), max_staleness).run(),
     );
     let peers = settings.listen.peers.unwrap_or(settings.listen.callers);
     let shortest_lease = Duration::from_millis(settings.platform.shortest_lease_ms);
     let name = &settings.router.name;
-    tokio::spawn(Registrar::new(store(), name, peers, shortest_lease, shutdown.clone()).run());
+    tokio::spawn(Registrar::new(new_store(), name, peers, shortest_lease, shutdown.clone()).run());
     if let Some(listener) = ports.peers {
         tokio::spawn(peers::serve(listener, cache, shared.clone()));
     }
@@ -99,20 +111,23 @@
         status: StatusCode::OK,
         text: metrics.to_text(),
     }));
-    let asked = shared.clone();
-    tokio::spawn(page::serve(ports.health, move || readiness(&asked)));
+    let readiness_state = shared.clone();
+    tokio::spawn(page::serve(ports.health, move || readiness(&readiness_state)));
     let port = CallerPort::new(shared, settings.limits.file_descriptors);
     let connections = port.connections();
     tokio::spawn(port.run(ports.callers));
     Ok(move || connections.count())
 }
 
+/// Returns the readiness page: status 200 while the router serves requests, 503 before it is ready
+/// and during a planned stop.
 fn readiness(shared: &Shared) -> Page {
     let is_ready = shared.shutdown.phase() == ShutdownPhase::Running && shared.fleet().is_ready();
     let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     Page { status, text: String::new() }
 }
 
+/// Removes expired state at regular intervals until the process ends.
 async fn sweep(shared: Arc<Shared>, learner: Arc<Learner>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
--- a/teaselworks/src/daemon/services.rs
+++ b/teaselworks/src/daemon/services.rs
@@ -1,4 +1,4 @@
-//! The services of a router, by name.
+//! Names of a router's services, and their registration.
 
 use std::sync::Arc;
 
@@ -14,23 +14,23 @@
 use crate::relay::Shared;
 use crate::settings::{BoundSettings, Settings};
 
-/// State that requests share.
+/// State that all requests share.
 pub(super) const SHARED: ServiceName<Shared> = ServiceName::new("shared");
 /// Counters and histograms.
 pub(super) const METRICS: ServiceName<Metrics> = ServiceName::new("metrics");
-/// Items of the store, for other routers.
+/// Items of the store as last read, served to other routers.
 pub(super) const CACHE: ServiceName<StoreCache> = ServiceName::new("cache");
-/// What turns news into beliefs.
+/// Applies changes from the store and from other routers to this router's view of the fleet.
 pub(super) const LEARNER: ServiceName<Learner> = ServiceName::new("learner");
 
-/// Registers every service that others use.
+/// Creates and registers all services that other services look up.
 pub(super) fn register(settings: &Settings, shutdown: &Shutdown) -> Result<Registry, ServiceError> {
     let registry = Registry::new();
     let metrics = Arc::new(Metrics::new());
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
     let name = settings.router.name.clone();
     let membership = Membership::new(name, settings.seeds.clone());
-    let fleet = Fleet::new(fleet_settings(&settings.bounds), membership, seed());
+    let fleet = Fleet::new(fleet_settings(&settings.bounds), membership, random_seed());
     let zone = settings.router.zone.clone();
     let shared = Arc::new(Shared::new(clock, metrics.clone(), shutdown.clone(), zone, fleet));
     let cache = Arc::new(StoreCache::default());
@@ -42,12 +42,12 @@
     Ok(registry)
 }
 
-/// Returns a seed for choices that routers must not make alike.
-pub(super) fn seed() -> u64 {
+/// Returns a random seed, so that routers do not all make the same random choices.
+pub(super) fn random_seed() -> u64 {
     rand::rng().random()
 }
 
-/// Returns the bounds that decisions keep.
+/// Converts the bounds of the settings to those of the routing decisions.
 pub(super) fn fleet_settings(bounds: &BoundSettings) -> FleetSettings {
     FleetSettings {
         load_factor: bounds.load_factor,
--- a/teaselworks/src/daemon/stop.rs
+++ b/teaselworks/src/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop, which cuts no request in progress.
+//! Planned stop, which lets requests in progress finish within the grace period.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::kernel::ShutdownPhase;
 use crate::relay::Shared;
 
-/// Time between looks at what is still in progress.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between checks of the requests that are still in progress.
+const PROGRESS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits for SIGTERM or SIGINT.
-pub(super) async fn requested() -> Result<(), StartError> {
+/// Waits for SIGTERM or SIGINT; fails if a signal handler cannot be installed.
+pub(super) async fn wait_for_signal() -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signal)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signal)?;
     tokio::select! {
@@ -24,14 +24,17 @@
     Ok(())
 }
 
-/// Leads the process through a planned stop; `in_progress` counts what must not be cut.
+/// Runs a planned stop to its end.
+///
+/// `in_progress` counts the connections that must not be cut. Idle ones are closed in the draining
+/// phase; the stop ends when none is left, or shortly before `grace` has passed.
 pub(super) async fn run(shared: &Shared, grace: Duration, in_progress: impl Fn() -> usize) {
     let plan = StopPlan::new(grace);
-    let began = shared.now();
+    let started = shared.now();
     event::STOP_REQUESTED.log(&[event::number("grace_ms", grace.as_millis() as u64)]);
     shared.begin_stop(plan);
     loop {
-        let elapsed = shared.now().saturating_sub(began);
+        let elapsed = shared.now().saturating_sub(started);
         match plan.phase(elapsed, in_progress()) {
             Phase::Taking => {}
             Phase::Finishing if shared.shutdown.phase() < ShutdownPhase::Draining => {
@@ -41,7 +44,7 @@
             Phase::Finishing => {}
             Phase::Ended => break,
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(PROGRESS_CHECK_INTERVAL).await;
     }
     event::ROUTER_STOPPED.log(&[event::number("cut", in_progress() as u64)]);
 }
