--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -13,7 +13,7 @@
 use super::{ReloadSignal, StartError, reload, stop};
 use crate::beliefs::{Follower, Learner, PeerFallback, Registrar};
 use crate::event;
-use crate::kernel::{Registry, Shutdown, ShutdownPhase};
+use crate::kernel::{ServiceRegistry, Shutdown, ShutdownPhase};
 use crate::net;
 use crate::peers;
 use crate::platform::Store;
@@ -83,7 +83,7 @@
 /// Returns a function that counts the open connections of callers, for which a planned stop waits. A
 /// connection accepted while the router drains counts only from its first request.
 fn start_services(
-    registry: &Registry,
+    registry: &ServiceRegistry,
     settings: &Settings,
     ports: Ports,
     shutdown: &Shutdown,
--- a/teaselworks/src/daemon/services.rs
+++ b/teaselworks/src/daemon/services.rs
@@ -9,7 +9,7 @@
 use teaselworks_policy::retry::BudgetSettings;
 
 use crate::beliefs::{Learner, StoreCache};
-use crate::kernel::{Registry, ServiceError, ServiceName, Shutdown};
+use crate::kernel::{ServiceError, ServiceName, ServiceRegistry, Shutdown};
 use crate::metrics::Metrics;
 use crate::relay::Shared;
 use crate::settings::{BoundSettings, Settings};
@@ -24,8 +24,11 @@
 pub(super) const LEARNER: ServiceName<Learner> = ServiceName::new("learner");
 
 /// Creates and registers all services that other services look up.
-pub(super) fn register(settings: &Settings, shutdown: &Shutdown) -> Result<Registry, ServiceError> {
-    let registry = Registry::new();
+pub(super) fn register(
+    settings: &Settings,
+    shutdown: &Shutdown,
+) -> Result<ServiceRegistry, ServiceError> {
+    let registry = ServiceRegistry::new();
     let metrics = Arc::new(Metrics::new());
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
     let name = settings.router.name.clone();
--- a/teaselworks/src/event/appender.rs
+++ b/teaselworks/src/event/appender.rs
@@ -1,4 +1,4 @@
-//! Writes log lines to standard output from a thread of its own.
+//! Log appender that writes lines to standard output from a background thread.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,17 +8,17 @@
 use logforth::record::Record;
 use logforth::{Append, Diagnostic, Error, Layout};
 
-/// Text that waits for its reader.
-const QUEUE_SIZE_BYTES: usize = 1 << 20;
-/// Time for which lines are collected, so that a busy router writes tens of times a second and not
-/// once for each line.
-const COLLECTING_TIME: Duration = Duration::from_millis(50);
-/// Longest wait of a process that ends for a reader.
+/// Maximum size of the lines waiting to be written; further lines are dropped.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// Time between writes, in which lines are collected into one batch: a busy router then writes tens
+/// of times per second instead of once per line.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time that an exiting process waits for the reader of standard output.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Appender that drops lines rather than wait.
+/// Appender that drops lines instead of blocking when its queue is full.
 ///
-/// A reader of standard output that stands still must not stop requests.
+/// Requests must not wait for a reader of standard output that has stalled.
 #[derive(Debug)]
 pub(super) struct QueueAppender {
     layout: Box<dyn Layout>,
@@ -27,11 +27,11 @@
 }
 
 impl QueueAppender {
-    /// Starts the thread.
+    /// Creates the appender and starts its thread; `dropped` counts the dropped lines.
     pub(super) fn start(layout: impl Into<Box<dyn Layout>>, dropped: Arc<AtomicU64>) -> Self {
         let queue = Arc::new(Queue::default());
-        let of_thread = queue.clone();
-        std::thread::spawn(move || of_thread.write_out());
+        let writer_queue = queue.clone();
+        std::thread::spawn(move || writer_queue.run_writer());
         Self { layout: layout.into(), queue, dropped }
     }
 }
@@ -52,74 +52,79 @@
     }
 }
 
-/// Lines on their way to the thread.
+/// Queue of formatted lines for the thread.
 #[derive(Debug, Default)]
 struct Queue {
-    state: Mutex<State>,
-    has_text: Condvar,
-    is_flushed_early: Condvar,
-    is_written: Condvar,
+    state: Mutex<QueueState>,
+    text_added: Condvar,
+    flush_requested: Condvar,
+    batch_written: Condvar,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct QueueState {
+    /// Lines that are waiting to be written.
     text: Vec<u8>,
+    /// Whether the thread is writing lines that it has taken from `text`.
     is_writing: bool,
+    /// Whether the process is exiting, so that lines are written without collecting a batch.
     is_flushing: bool,
 }
 
 impl Queue {
-    /// Takes a line; false where there is no room for it.
+    /// Appends a line; returns false if the queue has no room for it.
     fn push(&self, line: &[u8]) -> bool {
         let mut state = self.lock();
-        if state.text.len() + line.len() > QUEUE_SIZE_BYTES {
+        if state.text.len() + line.len() > MAX_QUEUED_BYTES {
             return false;
         }
         if state.text.is_empty() {
-            self.has_text.notify_one();
+            self.text_added.notify_one();
         }
         state.text.extend_from_slice(line);
         true
     }
 
-    /// Waits until every line is written, but not for a reader that stands still.
+    /// Waits until every line is written, but at most [`FLUSH_TIMEOUT`].
     fn flush(&self) {
         let mut state = self.lock();
         state.is_flushing = true;
-        self.is_flushed_early.notify_one();
-        let is_busy = |state: &mut State| state.is_writing || !state.text.is_empty();
-        // Nobody reads the log any more where this takes too long.
-        drop(self.is_written.wait_timeout_while(state, FLUSH_TIMEOUT, is_busy));
+        self.flush_requested.notify_one();
+        let is_busy = |state: &mut QueueState| state.is_writing || !state.text.is_empty();
+        // The reader of standard output has stalled if the timeout expires; the lines are lost.
+        drop(self.batch_written.wait_timeout_while(state, FLUSH_TIMEOUT, is_busy));
     }
 
-    fn write_out(&self) {
+    /// Writes lines to standard output in batches, forever.
+    fn run_writer(&self) {
         let mut out = std::io::stdout();
         loop {
-            let text = self.take();
-            // Where standard output is closed there is nobody to tell.
-            let _ = out.write_all(&text).and_then(|()| out.flush());
-            self.collect();
+            let batch = self.take_batch();
+            // A closed standard output leaves no place to report the error.
+            let _ = out.write_all(&batch).and_then(|()| out.flush());
+            self.wait_for_more();
         }
     }
 
-    fn take(&self) -> Vec<u8> {
+    /// Waits for lines and takes them from the queue.
+    fn take_batch(&self) -> Vec<u8> {
         let state = self.lock();
-        let waited = self.has_text.wait_while(state, |state| state.text.is_empty());
-        let mut state = waited.expect("the lock is never poisoned");
+        let waited = self.text_added.wait_while(state, |state| state.text.is_empty());
+        let mut state = waited.expect("log queue lock is never poisoned");
         state.is_writing = true;
         std::mem::take(&mut state.text)
     }
 
-    /// Waits for more lines, unless the process ends.
-    fn collect(&self) {
+    /// Waits one batch interval for more lines, or not at all if the process is exiting.
+    fn wait_for_more(&self) {
         let mut state = self.lock();
         state.is_writing = false;
-        self.is_written.notify_all();
-        let is_running = |state: &mut State| !state.is_flushing;
-        drop(self.is_flushed_early.wait_timeout_while(state, COLLECTING_TIME, is_running));
+        self.batch_written.notify_all();
+        let is_running = |state: &mut QueueState| !state.is_flushing;
+        drop(self.flush_requested.wait_timeout_while(state, BATCH_INTERVAL, is_running));
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("the lock is never poisoned")
+    fn lock(&self) -> MutexGuard<'_, QueueState> {
+        self.state.lock().expect("log queue lock is never poisoned")
     }
 }
--- a/teaselworks/src/event/logger.rs
+++ b/teaselworks/src/event/logger.rs
@@ -1,4 +1,4 @@
-//! Starts the log: JSON or text lines on standard output.
+//! Initialization of the log, which writes JSON or text lines to standard output.
 
 use std::sync::Arc;
 use std::sync::LazyLock;
@@ -10,9 +10,10 @@
 use super::appender::QueueAppender;
 use crate::settings::{LogFormat, LogLevel, LogSettings};
 
+/// Number of log lines dropped since the process started.
 static DROPPED: LazyLock<Arc<AtomicU64>> = LazyLock::new(Arc::default);
 
-/// Starts the log of the process; a second start in one process is ignored.
+/// Initializes the log of the process; later calls in the same process are ignored.
 pub fn init(settings: &LogSettings) {
     let appender = match settings.format {
         LogFormat::Text => QueueAppender::start(TextLayout::default().no_color(), DROPPED.clone()),
@@ -24,12 +25,12 @@
     }
 }
 
-/// Writes out what waits, for a process that ends.
+/// Writes the queued log lines before the process exits; a stalled reader delays this only briefly.
 pub fn flush() {
     log::logger().flush();
 }
 
-/// Returns the number of lines that were dropped because their reader was too slow.
+/// Returns the number of log lines dropped because the reader of standard output was too slow.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
--- a/teaselworks/src/event/mod.rs
+++ b/teaselworks/src/event/mod.rs
@@ -1,4 +1,4 @@
-//! Numbered log events; docs/EVENTS.md is their catalogue.
+//! Numbered log events, which docs/EVENTS.md lists with their meanings.
 
 mod appender;
 mod catalogue;
@@ -12,34 +12,34 @@
 pub use catalogue::*;
 pub use logger::{dropped_lines, flush, init};
 
-/// One kind of log line, known by its number.
+/// A kind of log event, identified by its number.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Number, never given to another event.
+    /// Unique number, which is never reused for another event.
     pub number: u16,
-    /// Severity.
+    /// Severity of the event.
     pub level: Level,
-    /// Name.
+    /// Name of the event in the log.
     pub name: &'static str,
-    /// What happened and what to do about it, for the catalogue.
+    /// Meaning of the event and what the router or the operator does about it, for the catalogue.
     pub meaning: &'static str,
 }
 
-/// A named value of a log line.
+/// A named value of a log event.
 pub type Field<'a> = (&'static str, Value<'a>);
 
-/// Makes a field from anything that can be shown.
+/// Creates a text field from any value that implements [`Display`].
 pub fn text<'a>(name: &'static str, value: &'a dyn Display) -> Field<'a> {
     (name, Value::from_dyn_display(value))
 }
 
-/// Makes a field from a number.
+/// Creates a numeric field.
 pub fn number(name: &'static str, value: u64) -> Field<'static> {
     (name, Value::from(value))
 }
 
 impl Event {
-    /// Logs the event with its fields.
+    /// Logs the event with the given fields, unless its severity is below the configured level.
     ///
     /// ```
     /// use teaselworks::event;
--- a/teaselworks/src/kernel/mod.rs
+++ b/teaselworks/src/kernel/mod.rs
@@ -1,7 +1,8 @@
-//! The kernel: services register under a name, find each other by it, and stop in order.
+//! Infrastructure shared by all services: a registry to look services up by name, and the phases of a
+//! planned stop.
 
 mod registry;
 mod shutdown;
 
-pub use registry::{Registry, ServiceError, ServiceName};
+pub use registry::{ServiceError, ServiceName, ServiceRegistry};
 pub use shutdown::{Shutdown, ShutdownPhase};
--- a/teaselworks/src/kernel/registry.rs
+++ b/teaselworks/src/kernel/registry.rs
@@ -1,4 +1,4 @@
-//! Typed handles to services, found by name.
+//! Registry of services, which returns typed handles by name.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::marker::PhantomData;
 use std::sync::{Arc, RwLock};
 
-/// Name of a service and the type of its handle.
+/// Name of a service, with the type of its handle as a type parameter.
 #[derive(Debug)]
 pub struct ServiceName<T> {
     name: &'static str,
@@ -14,58 +14,58 @@
 }
 
 impl<T> ServiceName<T> {
-    /// Names a service whose handle is a `T`.
+    /// Creates the name of a service whose handle has the type `T`.
     pub const fn new(name: &'static str) -> Self {
         Self { name, handle: PhantomData }
     }
 
-    /// Returns the name as text.
+    /// Returns the name as a string.
     pub const fn as_str(&self) -> &'static str {
         self.name
     }
 }
 
-/// Why a service could not be registered or found.
+/// Error of a registration or a lookup; each variant holds the name of the service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServiceError {
-    /// No service of that name is registered.
+    /// No service is registered under the name.
     Missing(&'static str),
-    /// A service of that name is registered already.
+    /// A service is already registered under the name.
     Duplicate(&'static str),
-    /// The service's handle has another type than the name says.
+    /// The service is registered with another type than that of the [`ServiceName`].
     WrongType(&'static str),
 }
 
 impl fmt::Display for ServiceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ServiceError::Missing(name) => write!(f, "no service named {name}"),
-            ServiceError::Duplicate(name) => write!(f, "a second service named {name}"),
-            ServiceError::WrongType(name) => write!(f, "service {name} has another type"),
+            ServiceError::Missing(name) => write!(f, "service {name} is not registered"),
+            ServiceError::Duplicate(name) => write!(f, "service {name} is already registered"),
+            ServiceError::WrongType(name) => write!(f, "service {name} is of another type"),
         }
     }
 }
 
-/// Services of one process by name.
+/// Services of one process, by name.
 #[derive(Default)]
-pub struct Registry {
+pub struct ServiceRegistry {
     services: RwLock<BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>>,
 }
 
-impl Registry {
-    /// Makes an empty registry.
+impl ServiceRegistry {
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Registers a service; fails when the name is taken.
+    /// Registers a service; fails with [`ServiceError::Duplicate`] if the name is already registered.
     ///
     /// ```
     /// use std::sync::Arc;
-    /// use teaselworks::kernel::{Registry, ServiceName};
+    /// use teaselworks::kernel::{ServiceRegistry, ServiceName};
     ///
     /// const COUNTER: ServiceName<u32> = ServiceName::new("counter");
-    /// let registry = Registry::new();
+    /// let registry = ServiceRegistry::new();
     /// registry.register(&COUNTER, Arc::new(7)).unwrap();
     /// assert_eq!(*registry.find(&COUNTER).unwrap(), 7);
     /// ```
@@ -74,7 +74,7 @@
         name: &ServiceName<T>,
         service: Arc<T>,
     ) -> Result<(), ServiceError> {
-        let mut services = self.services.write().expect("registry lock is never poisoned");
+        let mut services = self.services.write().expect("service registry lock is never poisoned");
         if services.contains_key(name.name) {
             return Err(ServiceError::Duplicate(name.name));
         }
@@ -82,12 +82,12 @@
         Ok(())
     }
 
-    /// Finds a service; fails when it is missing or of another type.
+    /// Returns a service by name; fails if it is not registered or has another type.
     pub fn find<T: Send + Sync + 'static>(
         &self,
         name: &ServiceName<T>,
     ) -> Result<Arc<T>, ServiceError> {
-        let services = self.services.read().expect("registry lock is never poisoned");
+        let services = self.services.read().expect("service registry lock is never poisoned");
         let service = services.get(name.name).ok_or(ServiceError::Missing(name.name))?;
         service.clone().downcast().map_err(|_| ServiceError::WrongType(name.name))
     }
--- a/teaselworks/src/kernel/shutdown.rs
+++ b/teaselworks/src/kernel/shutdown.rs
@@ -1,23 +1,24 @@
-//! The phases of a planned stop, seen by every service.
+//! Current phase of a planned stop, shared with every service.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// How far a planned stop has come.
+/// Phase of a planned stop, in order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ShutdownPhase {
-    /// Serving.
+    /// No stop has been requested.
     Running,
-    /// The health check fails and peers are told; requests that will be done in time are taken.
+    /// The health check fails and the router's registration ends, so that load balancers and other
+    /// routers learn of the stop. Requests that will finish in time are still accepted.
     Notice,
-    /// Idle connections are closed; requests in progress finish.
+    /// Idle connections are closed, and requests in progress finish.
     Draining,
-    /// Everything ends.
+    /// The process exits.
     Stopped,
 }
 
-/// Shared view of the stop's phase.
+/// Handle to the current phase of the planned stop; clones share the phase.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     phase: Arc<watch::Sender<ShutdownPhase>>,
@@ -30,7 +31,7 @@
 }
 
 impl Shutdown {
-    /// Starts in the running phase.
+    /// Creates a handle in the phase [`ShutdownPhase::Running`].
     ///
     /// ```
     /// use teaselworks::kernel::{Shutdown, ShutdownPhase};
@@ -44,14 +45,14 @@
         Self { phase: Arc::new(watch::Sender::new(ShutdownPhase::Running)) }
     }
 
-    /// Moves on to a later phase; an earlier one is ignored.
+    /// Advances to `phase`; an earlier phase than the current one is ignored.
     pub fn advance(&self, phase: ShutdownPhase) {
         self.phase.send_if_modified(|current| {
-            let later = phase > *current;
-            if later {
+            let is_later = phase > *current;
+            if is_later {
                 *current = phase;
             }
-            later
+            is_later
         });
     }
 
@@ -60,10 +61,10 @@
         *self.phase.borrow()
     }
 
-    /// Waits until the phase is reached or passed.
+    /// Waits until `phase` or a later one is reached.
     pub async fn reached(&self, phase: ShutdownPhase) {
         let mut receiver = self.phase.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // Waiting fails only when the sender is dropped, and `self` holds it.
         let _ = receiver.wait_for(|current| *current >= phase).await;
     }
 }
