--- a/teaselworks/tests/events.rs
+++ b/teaselworks/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events: numbers are unique, and docs/EVENTS.md lists them all.
+//! Tests of the catalogue of log events and of its table in docs/EVENTS.md.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -9,15 +9,17 @@
 
 const HEAD: &str = "# Log events
 
-Each line of the log begins with the number of its event (`TW0001`). The table is written from the
-code: `TEASELWORKS_RECORD=1 cargo test -p teaselworks --test events` writes it anew.
+The message of each log line begins with the number of its event, for instance `TW0001`. This table
+is generated from the code by `TEASELWORKS_RECORD=1 cargo test -p teaselworks --test events`.
 
 | number | severity | name | meaning |
 | --- | --- | --- | --- |
 ";
 
+/// Guards against a table in docs/EVENTS.md that differs from the code. With `TEASELWORKS_RECORD`
+/// set, the test writes the table first.
 #[test]
-fn catalogue_and_code_list_the_same_events() {
+fn the_documented_table_matches_the_catalogue() {
     let mut table = String::from(HEAD);
     for event in event::ALL {
         let level = event.level.as_str().to_lowercase();
@@ -31,6 +33,8 @@
     assert_eq!(fs::read_to_string(&path).unwrap_or_default(), table);
 }
 
+/// Guards against two events with the same number or name, by which operators' tools tell them
+/// apart.
 #[test]
 fn numbers_and_names_are_unique_and_in_order() {
     let numbers: Vec<u16> = event::ALL.iter().map(|event| event.number).collect();
--- a/teaselworks/tests/log.rs
+++ b/teaselworks/tests/log.rs
@@ -1,21 +1,23 @@
-//! The log under a reader that is slow or stands still.
+//! Tests of the log with a stalled reader of standard output.
 
 mod common;
 
 use common::{fleet, request};
 use teaselworks_standin::caller::Connection;
 
-/// Requests that log more than the pipe and the queue before it hold.
+/// Number of requests; their log lines exceed the pipe and the router's queue together.
 const REQUESTS: u32 = 4_000;
 
-fn dropped(page: &str) -> u64 {
+/// Returns the number of dropped log lines from the metrics page.
+fn dropped_lines(page: &str) -> u64 {
     let line = page.lines().find(|line| line.starts_with("teaselworks_log_lines_dropped_total"));
     line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap()
 }
 
-/// Guards against requests that wait for the reader of the log, and lines that are lost untold.
+/// Guards against requests that block while the reader of the log has stalled, and against dropped
+/// lines that the metrics do not count.
 #[tokio::test]
-async fn a_reader_that_stands_still_stops_no_request() {
+async fn a_stalled_log_reader_does_not_block_requests() {
     let fleet = fleet(1).await;
     let router = &fleet.routers[0];
     router.set_reading(false);
@@ -25,8 +27,8 @@
         let reply = connection.call(&sent).await.unwrap().unwrap();
         assert_eq!(reply.status(), 200, "{number}");
     }
-    assert!(dropped(&router.metrics().await.unwrap()) > 0);
+    assert!(dropped_lines(&router.metrics().await.unwrap()) > 0);
     router.set_reading(true);
-    let told = router.logged("request_answered", 1_000).await.unwrap();
-    assert!(told.len() < REQUESTS as usize);
+    let answered = router.logged("request_answered", 1_000).await.unwrap();
+    assert!(answered.len() < REQUESTS as usize);
 }
--- a/teaselworks/tests/settings.rs
+++ b/teaselworks/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the one that the platform fills in, and faulty ones.
+//! Tests of settings files: the deployed template as the platform fills it in, and invalid files.
 
 mod common;
 
@@ -11,34 +11,40 @@
 
 const TEMPLATE: &str = include_str!("../../deploy/router.settings.jsonc");
 
-/// Fills in a template as the platform does: values, values as JSON, and sections.
+/// Fills in a template as the platform does.
+///
+/// `{{name}}` is replaced by the value of that name and `{{name|json}}` by the value as JSON;
+/// `{{.}}` stands for `item`. The section `{{#name}}...{{/name}}` is repeated for each element of
+/// an array, and left out if the value is absent or false.
 fn render(template: &str, context: &Value, item: &Value) -> String {
     let mut text = String::new();
     let mut rest = template;
     while let Some(start) = rest.find("{{") {
         text.push_str(&rest[..start]);
-        let end = start + rest[start..].find("}}").expect("a placeholder ends");
+        let end =
+            start + rest[start..].find("}}").expect("the template has a placeholder without `}}`");
         let name = &rest[start + 2..end];
         rest = &rest[end + 2..];
         let Some(section) = name.strip_prefix('#') else {
-            text.push_str(&shown(name, context, item));
+            text.push_str(&render_value(name, context, item));
             continue;
         };
         let closing = format!("{{{{/{section}}}}}");
-        let length = rest.find(&closing).expect("a section ends");
-        let inner = &rest[..length];
+        let length = rest.find(&closing).expect("the template has a section without an end tag");
+        let section_body = &rest[..length];
         rest = &rest[length + closing.len()..];
         match look_up(section, context, item) {
             Value::Array(items) => {
-                items.iter().for_each(|item| text.push_str(&render(inner, context, item)));
+                items.iter().for_each(|item| text.push_str(&render(section_body, context, item)));
             }
             Value::Null | Value::Bool(false) => {}
-            value => text.push_str(&render(inner, context, &value)),
+            value => text.push_str(&render(section_body, context, &value)),
         }
     }
     text + rest
 }
 
+/// Returns the value at a dotted path of `context`, or `item` for the path ".".
 fn look_up(name: &str, context: &Value, item: &Value) -> Value {
     if name == "." {
         return item.clone();
@@ -47,7 +53,8 @@
     context.pointer(&pointer).cloned().unwrap_or(Value::Null)
 }
 
-fn shown(name: &str, context: &Value, item: &Value) -> String {
+/// Returns the text that replaces a placeholder; absent values give an empty text.
+fn render_value(name: &str, context: &Value, item: &Value) -> String {
     let (name, as_json) = match name.strip_suffix("|json") {
         Some(name) => (name, true),
         None => (name, false),
@@ -59,7 +66,8 @@
     }
 }
 
-fn fields() -> Value {
+/// Returns the values that the platform provides, with every optional one set.
+fn platform_values() -> Value {
     json!({
         "node_name": "frontend-a-1", "zone": "a", "ip": "10.1.0.40",
         "listen": {
@@ -77,9 +85,12 @@
     })
 }
 
+/// Guards against a deployed template that yields invalid settings, or puts a value of the platform
+/// into the wrong field.
 #[test]
 fn the_deployed_template_gives_valid_settings() {
-    let settings = Settings::parse("t", &render(TEMPLATE, &fields(), &Value::Null)).unwrap();
+    let settings =
+        Settings::parse("t", &render(TEMPLATE, &platform_values(), &Value::Null)).unwrap();
     assert_eq!(&*settings.router.name, "frontend-a-1");
     assert_eq!(settings.listen.metrics.to_string(), "10.1.0.40:7340");
     assert_eq!(settings.seeds.len(), 2);
@@ -89,33 +100,37 @@
     assert_eq!(settings.platform.shortest_lease_ms, 1_500);
 }
 
-/// Guards against a template that writes a field without a value where a bound is not set.
+/// Guards against a template that writes a field without a value when the deployment does not set
+/// an optional value, such as a bound: the router must then use its default.
 #[test]
-fn the_deployed_template_needs_no_bounds() {
-    let mut fields = fields();
-    fields["bounds"] = json!({});
-    fields["seeds"] = json!([]);
-    fields["limits"] = json!({});
-    fields["listen"]["control_plane"] = Value::Null;
-    fields["platform"]["min_ttl_ms"] = Value::Null;
-    let settings = Settings::parse("t", &render(TEMPLATE, &fields, &Value::Null)).unwrap();
+fn the_deployed_template_is_valid_without_optional_values() {
+    let mut values = platform_values();
+    values["bounds"] = json!({});
+    values["seeds"] = json!([]);
+    values["limits"] = json!({});
+    values["listen"]["control_plane"] = Value::Null;
+    values["platform"]["min_ttl_ms"] = Value::Null;
+    let settings = Settings::parse("t", &render(TEMPLATE, &values, &Value::Null)).unwrap();
     assert_eq!(settings.listen.peers, None);
     assert_eq!(settings.bounds.retry_ratio, 0.2);
 }
 
-/// Guards against a syntax error as the only word on a template that nobody filled in.
+/// Guards against a mere syntax error when a router is started with the template itself: the fault
+/// must name the first placeholder that is not filled in.
 #[test]
-fn a_template_that_was_not_filled_in_is_told_as_such() {
+fn an_unfilled_template_is_reported_as_such() {
     let faults = Settings::parse("router.settings.jsonc", TEMPLATE).unwrap_err();
-    let told = faults.to_string();
-    assert!(told.starts_with("router.settings.jsonc:5:13: "), "{told}");
-    assert!(told.contains("template that was not filled in: placeholder `{{node_name|json}}`"));
+    let message = faults.to_string();
+    assert!(message.starts_with("router.settings.jsonc:5:13: "), "{message}");
+    assert!(message.contains("template that was not filled in: placeholder `{{node_name|json}}`"));
     assert_eq!(faults.0.len(), 1);
 }
 
+/// Guards against a report that stops at the first fault, or does not name the line and the field
+/// of each fault.
 #[test]
-fn every_fault_is_told_with_its_line_and_field() {
-    let text = render(TEMPLATE, &fields(), &Value::Null)
+fn every_fault_is_reported_with_its_line_and_field() {
+    let text = render(TEMPLATE, &platform_values(), &Value::Null)
         .replace("\"stop_grace_s\": 9", "\"stop_grace_s\": 0")
         .replace("10.200.1.7:8223", "somewhere")
         .replace("\"format\": \"json\"", "\"format\": \"xml\", \"colour\": 1");
@@ -127,16 +142,19 @@
     }
 }
 
+/// Guards against settings with the same address for two listeners, of which the second could not
+/// be bound at the start.
 #[test]
-fn two_ports_cannot_share_an_address() {
-    let text = render(TEMPLATE, &fields(), &Value::Null).replace(":8220", ":8227");
+fn two_listeners_cannot_share_an_address() {
+    let text = render(TEMPLATE, &platform_values(), &Value::Null).replace(":8220", ":8227");
     let faults = Settings::parse("t", &text).unwrap_err();
     assert!(faults.to_string().contains("listen.health: is the address of callers too"));
 }
 
-/// Guards against a router that runs with other settings than its file says.
+/// Guards against a router that starts with invalid settings and substitutes values that the file
+/// does not contain.
 #[test]
-fn the_program_refuses_faulty_settings_before_it_listens() {
+fn the_program_rejects_invalid_settings_before_it_listens() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("router.jsonc");
     fs::write(&file, "{ \"router\": { \"name\": \"a\" } }").unwrap();
@@ -144,14 +162,16 @@
         let output =
             Command::new(program().path).args([command, "--settings"]).arg(&file).output().unwrap();
         assert_eq!(output.status.code(), Some(3));
-        let told = String::from_utf8(output.stderr).unwrap();
-        assert!(told.contains("router.jsonc:1:") && told.contains("router.zone: is missing"));
+        let message = String::from_utf8(output.stderr).unwrap();
+        assert!(message.contains("router.jsonc:1:") && message.contains("router.zone: is missing"));
         assert!(output.stdout.is_empty());
     }
 }
 
+/// Guards against wrong exit codes for invalid command lines, and against help, manual, completions
+/// or catalogue without output.
 #[test]
-fn the_command_line_tells_what_it_knows() {
+fn commands_print_their_output_and_return_exit_codes() {
     let run = |arguments: &[&str]| {
         Command::new(program().path)
             .args(arguments)
--- a/teaselworks/tests/start.rs
+++ b/teaselworks/tests/start.rs
@@ -1,4 +1,4 @@
-//! The start of a router.
+//! Tests of a router's start.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -10,9 +10,11 @@
 use serde_json::json;
 use teaselworks_standin::port::PortGuard;
 
-/// Guards against a router that ends since its settings changed while it was starting.
+/// Guards against a SIGHUP that ends the router when it arrives before the settings are read: the
+/// default action of the signal ends the process until a handler is installed. The signal must
+/// instead lead to a reload after the start.
 #[tokio::test]
-async fn a_hang_up_before_the_settings_are_read_ends_nothing() {
+async fn sighup_before_the_settings_are_read_does_not_end_the_router() {
     let ports = [(); 3].map(|()| PortGuard::take().unwrap());
     let [callers, health, metrics] = ports.each_ref().map(PortGuard::address);
     let settings = json!({
@@ -22,7 +24,7 @@
     });
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("router.jsonc");
-    // A pipe holds the start up where the settings are read.
+    // The router blocks when it reads its settings until the test has written them to this pipe.
     mkfifo(&file, Mode::S_IRUSR | Mode::S_IWUSR).unwrap();
     let mut router = Command::new(env!("CARGO_BIN_EXE_teaselworks"))
         .args(["router", "--settings"])
@@ -35,19 +37,19 @@
     kill(id, Signal::SIGHUP).unwrap();
     std::io::Write::write_all(&mut pipe, settings.to_string().as_bytes()).unwrap();
     drop(pipe);
-    let mut reloaded = false;
+    let mut is_reloaded = false;
     for line in BufReader::new(router.stdout.take().unwrap()).lines().map_while(Result::ok) {
         if line.contains("router_started") {
-            // The settings are read once more for the signal.
+            // The signal makes the router read the pipe a second time.
             let (file, settings) = (file.clone(), settings.to_string());
             std::thread::spawn(move || fs::write(file, settings));
         }
-        reloaded = line.contains("settings_reloaded");
-        if reloaded {
+        is_reloaded = line.contains("settings_reloaded");
+        if is_reloaded {
             break;
         }
     }
     kill(id, Signal::SIGKILL).unwrap();
     let status = router.wait().unwrap();
-    assert!(reloaded, "the router ended with {status}");
+    assert!(is_reloaded, "the router ended with {status}");
 }
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops and new settings: nothing in progress is cut.
+//! Tests of planned stops, restarts, reloads of the settings, and the metrics page.
 
 mod common;
 
@@ -13,14 +13,15 @@
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::Script;
 
-/// Returns a request whose caller waits for less than a stop lasts.
-fn short(id: &str) -> Call {
+/// Returns a request with a deadline shorter than the grace period of a planned stop.
+fn short_request(id: &str) -> Call {
     Call::new("GET", HOST, "/read/a", id).key(KEY).with("X-Deadline-Ms", "1500")
 }
 
-/// Guards against answers that a planned stop cuts, and callers that are closed unanswered.
+/// Guards against a planned stop that cuts a stream in progress, closes a connection without an
+/// answer to its request, or accepts a request that it cannot finish.
 #[tokio::test]
-async fn a_planned_stop_finishes_what_is_in_progress() {
+async fn a_planned_stop_finishes_requests_in_progress() {
     let mut fleet = fleet(1).await;
     for engine in &fleet.engines {
         engine.set_behaviour(|seen| Script::stream(seen, 1..41, Duration::from_millis(100), true));
@@ -29,22 +30,22 @@
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
     assert!(streaming.head().await.unwrap().is_some());
-    let mut kept = Connection::open(address).await.unwrap();
-    assert_eq!(kept.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
+    let mut idle = Connection::open(address).await.unwrap();
+    assert_eq!(idle.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
 
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
     fleet.routers[0].logged("stop_requested", 1).await.unwrap();
     assert!(!fleet.routers[0].is_ready().await);
-    let reply = kept.call(&request("GET", "/read/a", "2")).await.unwrap().unwrap();
+    let reply = idle.call(&request("GET", "/read/a", "2")).await.unwrap().unwrap();
     assert_eq!(reply.status(), 200);
     assert_eq!(reply.head.header("connection"), Some("close"));
     assert_eq!(call(address, &request("GET", "/read/a", "3")).await.unwrap().status(), 200);
-    until("it is no longer registered", async || fleet.store.keys("routers/").is_empty())
+    until("the router is no longer registered", async || fleet.store.keys("routers/").is_empty())
         .await
         .unwrap();
 
     fleet.routers[0].logged("finishing", 1).await.unwrap();
-    let short = call(address, &short("4")).await.unwrap();
+    let short = call(address, &short_request("4")).await.unwrap();
     assert_eq!((short.status(), short.head.header("connection")), (200, Some("close")));
     let refused = call(address, &chat("/chat/a", "a2", 2)).await.unwrap();
     assert_eq!(refused.status(), 503);
@@ -56,7 +57,8 @@
     assert!(fleet.routers[0].ended().await.unwrap().success());
 }
 
-/// Guards against callers that are refused by one stopping router after the other.
+/// Guards against requests that every router refuses when all routers stop at the same time: each
+/// must accept requests that it can finish within its grace period.
 #[tokio::test]
 async fn callers_are_served_while_every_router_stops() {
     let mut fleet = fleet(2).await;
@@ -78,7 +80,7 @@
     }
     for turn in 0..20 {
         let address = addresses[turn % addresses.len()];
-        let reply = call(address, &short(&format!("r{turn}"))).await.unwrap();
+        let reply = call(address, &short_request(&format!("r{turn}"))).await.unwrap();
         assert_eq!(reply.status(), 200, "{turn}");
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
@@ -91,6 +93,8 @@
     }
 }
 
+/// Guards against a planned stop that lasts the whole grace period, after which the platform kills
+/// the process, though no request is in progress.
 #[tokio::test]
 async fn an_idle_router_stops_before_its_grace_period_ends() {
     let mut fleet = fleet(1).await;
@@ -100,9 +104,10 @@
     assert_eq!(stopped[0]["cut"], 0);
 }
 
-/// Guards against a router that does not serve again after it was killed.
+/// Guards against a router that cannot serve requests when it is started again after it was killed
+/// without a planned stop.
 #[tokio::test]
-async fn a_killed_router_serves_again_after_its_start() {
+async fn a_killed_router_serves_again_after_a_restart() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
     fleet.routers[0].ended().await.unwrap();
@@ -112,9 +117,10 @@
     assert_eq!(reply.status(), 200);
 }
 
-/// Guards against callers that are refused since they reach a router in the moment of its start.
+/// Guards against requests that are refused because they reach a router between the opening of its
+/// port and its first configuration; the proxy delays the answer of the store.
 #[tokio::test]
-async fn a_caller_at_the_start_waits_for_the_first_configuration() {
+async fn a_request_during_the_start_waits_for_the_first_configuration() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
     fleet.routers[0].ended().await.unwrap();
@@ -140,8 +146,10 @@
     assert_eq!(connection.reply().await.unwrap().unwrap().status(), 200);
 }
 
+/// Guards against settings that are not reloaded on SIGHUP or on a change of the file, and against
+/// invalid settings that replace the ones in force.
 #[tokio::test]
-async fn settings_are_read_again_with_a_signal_and_without() {
+async fn settings_are_reloaded_on_sighup_and_on_file_changes() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGHUP).unwrap();
     let reloaded = fleet.routers[0].logged("settings_reloaded", 1).await.unwrap();
@@ -160,6 +168,8 @@
     assert_eq!(reply.status(), 200);
 }
 
+/// Guards against counters that are missing from the metrics page until their first event: they
+/// must be listed with zero.
 #[tokio::test]
 async fn the_metrics_page_lists_every_reason() {
     let fleet = fleet(1).await;
@@ -175,7 +185,7 @@
         "teaselworks_answers_total{kind=\"idempotent\"} 1",
         "teaselworks_log_lines_dropped_total 0",
     ] {
-        assert!(page.lines().any(|known| known == line), "{line} is missing from\n{page}");
+        assert!(page.lines().any(|listed| listed == line), "{line} is missing from\n{page}");
     }
     assert!(page.contains("teaselworks_first_byte_ms_bucket"));
 }
