--- a/teaselworks/src/daemon/page.rs
+++ b/teaselworks/src/daemon/page.rs
@@ -25,8 +25,8 @@
     pub(super) text: String,
 }
 
-/// Answers every request on `listener` with the result of `page`, whatever its method and path, until
-/// the process ends.
+/// Answers every request on `listener` with the result of `page`, whatever its method and path,
+/// until the process ends.
 pub(super) async fn serve(listener: TcpListener, page: impl Fn() -> Page + Send + Sync + 'static) {
     let page = Arc::new(page);
     loop {
--- a/teaselworks/src/daemon/reload.rs
+++ b/teaselworks/src/daemon/reload.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Reloads the settings on each SIGHUP and on each change of the file's modification time, until the
-/// process ends.
+/// Reloads the settings on each SIGHUP and on each change of the file's modification time, until
+/// the process ends.
 ///
 /// Bounds and seeds take effect at once; the router keeps its listen addresses until it restarts.
 pub(super) async fn run(
--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -20,8 +20,8 @@
 use crate::relay::{CallerPort, Shared};
 use crate::settings::Settings;
 
-/// Time between checks for expired state: idle connections to upstreams, and upstreams that have been
-/// missing for so long that they count as gone.
+/// Time between checks for expired state: idle connections to upstreams, and upstreams that have
+/// been missing for so long that they count as gone.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Listening sockets of a router, one for each listen address of the settings.
@@ -80,8 +80,8 @@
 
 /// Starts the services as tasks.
 ///
-/// Returns a function that counts the open connections of callers, for which a planned stop waits. A
-/// connection accepted while the router drains counts only from its first request.
+/// Returns a function that counts the open connections of callers, for which a planned stop waits.
+/// A connection accepted while the router drains counts only from its first request.
 fn start_services(
     registry: &ServiceRegistry,
     settings: &Settings,
--- a/teaselworks/src/kernel/mod.rs
+++ b/teaselworks/src/kernel/mod.rs
@@ -1,5 +1,5 @@
-//! Infrastructure shared by all services: a registry to look services up by name, and the phases of a
-//! planned stop.
+//! Infrastructure shared by all services: a registry to look services up by name, and the phases of
+//! a planned stop.
 
 mod registry;
 mod shutdown;
--- a/teaselworks/src/kernel/registry.rs
+++ b/teaselworks/src/kernel/registry.rs
@@ -58,7 +58,8 @@
         Self::default()
     }
 
-    /// Registers a service; fails with [`ServiceError::Duplicate`] if the name is already registered.
+    /// Registers a service; fails with [`ServiceError::Duplicate`] if the name is already
+    /// registered.
     ///
     /// ```
     /// use std::sync::Arc;
--- a/teaselworks/src/settings/document.rs
+++ b/teaselworks/src/settings/document.rs
@@ -70,7 +70,8 @@
 
     /// Converts a finding to a fault with file, line and column.
     ///
-    /// The fault of an absent field points to the innermost object or array on its path that exists.
+    /// The fault of an absent field points to the innermost object or array on its path that
+    /// exists.
     ///
     /// ```
     /// use teaselworks::settings::Document;
--- a/teaselworks/src/settings/fault.rs
+++ b/teaselworks/src/settings/fault.rs
@@ -40,7 +40,8 @@
     /// ```
     /// use teaselworks::settings::FieldPath;
     ///
-    /// assert_eq!(FieldPath::default().child_key("log").child_key("level").to_string(), "log.level");
+    /// let path = FieldPath::default().child_key("log").child_key("level");
+    /// assert_eq!(path.to_string(), "log.level");
     /// ```
     pub fn child_key(&self, key: &str) -> Self {
         let mut segments = self.segments.clone();
