--- a/teaselworks/src/cli/exit.rs
+++ b/teaselworks/src/cli/exit.rs
@@ -12,13 +12,13 @@
     /// The command line is invalid.
     Usage = 2,
     /// The settings file is invalid; nothing was started.
-    Refused = 3,
+    InvalidSettings = 3,
 }
 
 impl ExitCode {
     /// All exit codes in numerical order.
     pub const ALL: [ExitCode; 4] =
-        [ExitCode::Ok, ExitCode::Failure, ExitCode::Usage, ExitCode::Refused];
+        [ExitCode::Ok, ExitCode::Failure, ExitCode::Usage, ExitCode::InvalidSettings];
 
     /// Returns the meaning of the exit code, as shown in the help and the manual.
     ///
@@ -32,7 +32,7 @@
             ExitCode::Ok => "done",
             ExitCode::Failure => "failed for a reason without a code of its own",
             ExitCode::Usage => "the command line could not be understood",
-            ExitCode::Refused => "settings refused; nothing was started",
+            ExitCode::InvalidSettings => "settings refused; nothing was started",
         }
     }
 }
--- a/teaselworks/src/cli/failure.rs
+++ b/teaselworks/src/cli/failure.rs
@@ -29,7 +29,7 @@
     /// Returns the exit code for this error.
     pub(super) fn exit_code(&self) -> ExitCode {
         match self {
-            CommandError::Settings(_) => ExitCode::Refused,
+            CommandError::Settings(_) => ExitCode::InvalidSettings,
             CommandError::UnknownPage(_) => ExitCode::Usage,
             CommandError::Output(_) | CommandError::Start(_) => ExitCode::Failure,
             #[cfg(feature = "experiment")]
--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -32,10 +32,11 @@
     peers: Option<TcpListener>,
 }
 
-/// Runs a router until a planned stop has ended; reloads the settings from `path` on each SIGHUP.
+/// Runs a router until a planned stop has ended; reloads the settings from `path` on each SIGHUP and
+/// on changes of the file.
 ///
 /// Fails if a listen address cannot be bound, a signal handler cannot be installed, or a service
-/// cannot be found.
+/// cannot be registered or found.
 pub async fn serve(
     path: PathBuf,
     settings: Settings,
--- a/teaselworks/src/settings/mod.rs
+++ b/teaselworks/src/settings/mod.rs
@@ -113,7 +113,7 @@
     pub retry_slack: f64,
     /// Length of the window over which retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// Maximum load of an upstream, as a multiple of the mean load of its service.
+    /// Load that no upstream should exceed, as a multiple of the mean load of its service.
     pub load_factor: f64,
 }
 
--- a/teaselworks/tests/settings.rs
+++ b/teaselworks/tests/settings.rs
@@ -115,8 +115,8 @@
     assert_eq!(settings.bounds.retry_ratio, 0.2);
 }
 
-/// Guards against a mere syntax error when a router is started with the template itself: the fault
-/// must name the first placeholder that is not filled in.
+/// Guards against an unhelpful syntax error when a router is started with the template that was not
+/// filled in: the fault must name the first placeholder.
 #[test]
 fn an_unfilled_template_is_reported_as_such() {
     let faults = Settings::parse("router.settings.jsonc", TEMPLATE).unwrap_err();
