--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -50,7 +50,7 @@
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.shutdown.reached(ShutdownPhase::Notice) => {}
+                () = self.shutdown.reached(ShutdownPhase::Announced) => {}
             }
         }
         if let Some(lease) = lease {
--- a/teaselworks/src/kernel/shutdown.rs
+++ b/teaselworks/src/kernel/shutdown.rs
@@ -11,7 +11,7 @@
     Running,
     /// The health check fails and the router's registration ends, so that load balancers and other
     /// routers learn of the stop. Requests that will finish in time are still accepted.
-    Notice,
+    Announced,
     /// Idle connections are closed, and requests in progress finish.
     Draining,
     /// The process exits.
@@ -38,7 +38,7 @@
     ///
     /// let shutdown = Shutdown::new();
     /// shutdown.advance(ShutdownPhase::Draining);
-    /// shutdown.advance(ShutdownPhase::Notice);
+    /// shutdown.advance(ShutdownPhase::Announced);
     /// assert_eq!(shutdown.phase(), ShutdownPhase::Draining);
     /// ```
     pub fn new() -> Self {
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -85,7 +85,7 @@
     /// Begins a planned stop; a second one changes nothing.
     pub fn begin_stop(&self, plan: StopPlan) {
         let _ = self.stop.set((plan, self.now()));
-        self.shutdown.advance(ShutdownPhase::Notice);
+        self.shutdown.advance(ShutdownPhase::Announced);
     }
 
     /// Refuses a request that a planned stop would cut.
