--- a/teaselworks/src/daemon/reload.rs
+++ b/teaselworks/src/daemon/reload.rs
@@ -40,7 +40,8 @@
 /// Reloads the settings on each SIGHUP and on each change of the file's modification time, until
 /// the process ends.
 ///
-/// Bounds and seeds take effect at once; the router keeps its listen addresses until it restarts.
+/// The load factor, the retry bounds and the seeds take effect at once. All other settings, such as
+/// the listen addresses, take effect when the router restarts.
 pub(super) async fn run(
     path: PathBuf,
     mut in_force: Settings,
--- a/teaselworks/src/event/catalogue.rs
+++ b/teaselworks/src/event/catalogue.rs
@@ -25,7 +25,7 @@
     FINISHING = 3 Info "finishing" "Idle connections are closed; the router exits when no request is in progress.";
     ROUTER_STOPPED = 4 Info "router_stopped" "The router stopped after a planned stop; requests still in progress at the end of the grace period were cut.";
     START_FAILED = 6 Error "start_failed" "The router could not start; the field `cause` names the error.";
-    SETTINGS_RELOADED = 7 Info "settings_reloaded" "The settings were read again, because the file changed or on SIGHUP, and are in force.";
+    SETTINGS_RELOADED = 7 Info "settings_reloaded" "The settings were read again on SIGHUP or after a change of the file. The load factor, the retry bounds and the seeds are in force; other settings take effect when the router restarts.";
     SETTINGS_REFUSED = 8 Error "settings_refused" "The settings were read again and are invalid; the previous settings stay in force.";
     READINESS_CHANGED = 9 Info "readiness_changed" "The router became ready, or is no longer ready.";
     ACCEPT_FAILED = 10 Warn "accept_failed" "A connection could not be accepted; check the limit on file descriptors.";
