--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -4,7 +4,7 @@
 
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
-use teaselworks_policy::placement::{Demand, Placement};
+use teaselworks_policy::placement::{Placement, PlacementRequest};
 use teaselworks_policy::retry::{Attempts, Failure, Next, RetryReason, decide};
 use teaselworks_policy::upstream::Symptom;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
@@ -43,7 +43,7 @@
     pub(super) fn place(&mut self, resumed_after: Option<&str>) -> Result<Placement, Refusal> {
         let now = self.shared.now();
         let deadline = &self.prepared.deadline;
-        let demand = Demand {
+        let request = PlacementRequest {
             prompt: self.prepared.facts.prompt.as_ref().filter(|_| self.prepared.route.has_prompts),
             zone: &self.shared.zone,
             tried: &self.tried,
@@ -52,7 +52,7 @@
             is_late: self.prepared.is_late,
             is_begun: resumed_after.is_some() || self.runs > 0,
         };
-        let mut placement = self.shared.fleet().place(now, &self.prepared.service, &demand)?;
+        let mut placement = self.shared.fleet().place(now, &self.prepared.service, &request)?;
         placement.holder = placement.holder.filter(|_| self.copies_prompts());
         let report_age = placement.report_age.map_or(-1, |age| age.as_millis() as i64);
         event::REQUEST_PLACED.log(&[
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -7,7 +7,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
-use teaselworks_policy::placement::{Demand, Part, Placement, Prompt};
+use teaselworks_policy::placement::{Part, Placement, PlacementRequest, Prompt};
 use teaselworks_policy::retry::BudgetSettings;
 use teaselworks_policy::upstream::{Change, Upstream};
 use teaselworks_policy::verdict::Refusal;
@@ -88,7 +88,7 @@
         input_tokens: kind.shared_tokens + kind.own_tokens,
         output_tokens: kind.answer_tokens,
     };
-    let demand = Demand {
+    let request = PlacementRequest {
         prompt: Some(&prompt).filter(|_| load.placing == Placing::Reuse),
         zone: ZONE,
         tried,
@@ -97,5 +97,5 @@
         is_begun: false,
         is_late,
     };
-    fleet.place(now, SERVICE, &demand)
+    fleet.place(now, SERVICE, &request)
 }
--- a/teaselworks_policy/benches/placement.rs
+++ b/teaselworks_policy/benches/placement.rs
@@ -5,7 +5,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
-use teaselworks_policy::placement::{Demand, Part, PlacementSettings, Prompt, place};
+use teaselworks_policy::placement::{Part, PlacementRequest, PlacementSettings, Prompt, place};
 use teaselworks_policy::upstream::{Pool, Upstream};
 
 fn pool(replicas: u32) -> Pool {
@@ -23,7 +23,7 @@
     let mut random = rand_pcg::Pcg32::seed_from_u64(1);
     for replicas in [18, 800] {
         let pool = pool(replicas);
-        let demand = Demand {
+        let request = PlacementRequest {
             prompt: Some(&prompt),
             zone: "a",
             tried: &[],
@@ -34,7 +34,7 @@
         };
         criterion.bench_function(&format!("placement of a prompt, {replicas} replicas"), |bench| {
             bench.iter(|| {
-                black_box(place(&pool, Duration::ZERO, black_box(&demand), &settings, &mut random))
+                black_box(place(&pool, Duration::ZERO, black_box(&request), &settings, &mut random))
             })
         });
     }
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -10,7 +10,7 @@
 use crate::configuration::{Configuration, Route};
 use crate::deadline::UsualDeadlines;
 use crate::membership::Membership;
-use crate::placement::{Demand, Placement, PlacementSettings, place};
+use crate::placement::{Placement, PlacementRequest, PlacementSettings, place};
 use crate::retry::{BudgetSettings, RetryBudget};
 use crate::stop::{Arrival, StopPlan};
 use crate::times::RouteTimes;
@@ -179,7 +179,7 @@
         &mut self,
         now: Duration,
         service: &str,
-        demand: &Demand<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Result<Placement, Refusal> {
         let settings = PlacementSettings {
             capacity_factor: self.settings.load_factor,
@@ -188,7 +188,7 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return Err(Refusal::not_run(RefusalReason::NoReplica, Some(UNKNOWN_RETURN)));
         };
-        match place(pool, now, demand, &settings, &mut self.random) {
+        match place(pool, now, request, &settings, &mut self.random) {
             Ok(placement) => {
                 pool.begin(now, &placement.upstream.incarnation());
                 pool.returns.on_placed(now);
@@ -196,7 +196,7 @@
             }
             Err(refusal) if refusal.reason.is_overload() => {
                 let retry_after =
-                    pool.returns.schedule(now, demand.latest_return, &mut self.random);
+                    pool.returns.schedule(now, request.latest_return, &mut self.random);
                 Err(Refusal { retry_after: Some(retry_after), ..refusal })
             }
             Err(refusal) => Err(refusal),
--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::{Demand, PlacementSettings};
+use super::{PlacementRequest, PlacementSettings};
 use crate::upstream::{Member, Pool, Usual};
 use crate::verdict::RefusalReason;
 
@@ -21,12 +21,12 @@
     pool: &Pool,
     now: Duration,
     is_crowded: bool,
-    demand: &Demand<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Option<RefusalReason> {
-    if demand.is_begun {
+    if request.is_begun {
         return None;
     }
-    if is_crowded && demand.is_late {
+    if is_crowded && request.is_late {
         return Some(RefusalReason::LateCaller);
     }
     pool.is_saturated(now, is_crowded).then_some(RefusalReason::Limited)
@@ -37,16 +37,16 @@
     pool: &Pool,
     member: &Member,
     now: Duration,
-    demand: &Demand<'_>,
+    request: &PlacementRequest<'_>,
     usual: &Usual,
     settings: &PlacementSettings,
 ) -> bool {
-    if demand.is_begun {
+    if request.is_begun {
         return false;
     }
-    let longest = pool.target().map_or(demand.remaining, |target| target.mul_f64(WAIT_SHARE));
+    let longest = pool.target().map_or(request.remaining, |target| target.mul_f64(WAIT_SHARE));
     let wait = expected_wait(member, now, usual, settings);
-    wait.is_some_and(|wait| wait > longest.min(demand.remaining))
+    wait.is_some_and(|wait| wait > longest.min(request.remaining))
 }
 
 /// Returns the wait for a slot where all are taken; `None` where some is free, or too little is
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -39,7 +39,7 @@
 
 /// A request that needs a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// Prompt, where the service consists of model engines.
     pub prompt: Option<&'a Prompt>,
     /// Zone of this router.
@@ -100,10 +100,10 @@
 /// ```
 /// use std::time::Duration;
 /// use rand::SeedableRng;
-/// use teaselworks_policy::placement::{Demand, PlacementSettings, place};
+/// use teaselworks_policy::placement::{PlacementRequest, PlacementSettings, place};
 /// use teaselworks_policy::upstream::Pool;
 ///
-/// let demand = Demand {
+/// let request = PlacementRequest {
 ///     prompt: None,
 ///     zone: "a",
 ///     tried: &[],
@@ -114,28 +114,28 @@
 /// };
 /// let settings = PlacementSettings { capacity_factor: 2.0, routers: 1 };
 /// let mut random = rand_pcg::Pcg32::seed_from_u64(1);
-/// assert!(place(&Pool::default(), Duration::ZERO, &demand, &settings, &mut random).is_err());
+/// assert!(place(&Pool::default(), Duration::ZERO, &request, &settings, &mut random).is_err());
 /// ```
 pub fn place(
     pool: &Pool,
     now: Duration,
-    demand: &Demand<'_>,
+    request: &PlacementRequest<'_>,
     settings: &PlacementSettings,
     random: &mut impl Rng,
 ) -> Result<Placement, Refusal> {
-    let key = demand.prompt.and_then(Prompt::key);
-    let Some(scan) = Scan::new(pool, now, demand, key, settings.routers) else {
-        let retry_after = ABSENCE_RETRY.min(demand.latest_return);
+    let key = request.prompt.and_then(Prompt::key);
+    let Some(scan) = Scan::new(pool, now, request, key, settings.routers) else {
+        let retry_after = ABSENCE_RETRY.min(request.latest_return);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
-    if let Some(reason) = admission::lacks_room(pool, now, scan.is_crowded(), demand) {
+    if let Some(reason) = admission::lacks_room(pool, now, scan.is_crowded(), request) {
         return Err(Refusal::not_run(reason, None));
     }
     let mut choice = match key {
         Some(_) => by_reuse(&scan, now, settings, random),
-        None => by_load(&scan, now, demand.zone, random),
+        None => by_load(&scan, now, request.zone, random),
     };
-    if admission::is_too_late(pool, choice.member, now, demand, scan.usual(), settings) {
+    if admission::is_too_late(pool, choice.member, now, request, scan.usual(), settings) {
         let has_room_elsewhere = key.is_some() && !scan.is_crowded();
         let spilt = has_room_elsewhere.then(|| spill(&scan, now, settings, random)).flatten();
         choice = spilt.ok_or(Refusal::not_run(RefusalReason::Overloaded, None))?;
--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -7,7 +7,7 @@
 mod returns;
 mod scan;
 
-pub use self::choice::{Demand, Placement, PlacementSettings, Reason, place};
+pub use self::choice::{Placement, PlacementRequest, PlacementSettings, Reason, place};
 pub use self::prompt::{Part, Prompt};
 pub use self::rendezvous::{identity, score};
 pub use self::returns::Returns;
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Demand, score};
+use super::{PlacementRequest, score};
 use crate::upstream::{Foreign, Member, Pool, Usual};
 
 /// Replicas of a key's order that are kept; where none of them has room, the order ends.
@@ -68,14 +68,14 @@
     pub(super) fn new(
         pool: &'a Pool,
         now: Duration,
-        demand: &Demand<'a>,
+        request: &PlacementRequest<'a>,
         key: Option<u64>,
         routers: u32,
     ) -> Option<Self> {
         let mut scan = Self {
             pool,
             now,
-            tried: demand.tried,
+            tried: request.tried,
             key,
             only_usable: true,
             count: 0,
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -5,7 +5,7 @@
 
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
-use teaselworks_policy::placement::{Demand, PlacementSettings, place};
+use teaselworks_policy::placement::{PlacementRequest, PlacementSettings, place};
 use teaselworks_policy::upstream::{Health, Pool, Symptom, Upstream};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
 
 /// Returns how many replicas requests are sent to.
 fn chosen(pool: &Pool) -> usize {
-    let demand = Demand {
+    let request = PlacementRequest {
         prompt: None,
         zone: "a",
         tried: &[],
@@ -68,7 +68,7 @@
     };
     let settings = PlacementSettings { capacity_factor: 2.0, routers: 1 };
     let mut random = Pcg32::seed_from_u64(1);
-    let placed = (0..200).map(|_| place(pool, SECOND, &demand, &settings, &mut random).unwrap());
+    let placed = (0..200).map(|_| place(pool, SECOND, &request, &settings, &mut random).unwrap());
     placed.map(|placement| placement.upstream.id.clone()).collect::<BTreeSet<_>>().len()
 }
 
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use teaselworks_policy::placement::{
-    Demand, Part, Placement, PlacementSettings, Prompt, Reason, identity, place, score,
+    Part, Placement, PlacementRequest, PlacementSettings, Prompt, Reason, identity, place, score,
 };
 use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -37,10 +37,10 @@
     Prompt { parts, input_tokens: 300, output_tokens: 50 }
 }
 
-fn demand(prompt: Option<&Prompt>) -> Demand<'_> {
+fn request(prompt: Option<&Prompt>) -> PlacementRequest<'_> {
     let second = Duration::from_secs(1);
     let remaining = second;
-    Demand {
+    PlacementRequest {
         prompt,
         zone: "a",
         tried: &[],
@@ -60,9 +60,9 @@
     let pool = pool(18, 48);
     for key in 10..200 {
         let prompt = prompt(key);
-        let first = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
+        let first = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
         let mut other_router = Pcg32::seed_from_u64(key);
-        let again = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut other_router);
+        let again = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut other_router);
         assert_eq!(again.unwrap().upstream.id, first.upstream.id);
         assert_eq!(first.reason, Reason::Home);
     }
@@ -76,8 +76,9 @@
     smaller.remove("i-3");
     for key in 10..400 {
         let prompt = prompt(key);
-        let before = place(&whole, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
-        let after = place(&smaller, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
+        let before = place(&whole, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
+        let after =
+            place(&smaller, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
         let moved = before.upstream.id != after.upstream.id;
         assert_eq!(moved, &*before.upstream.id == "i-3");
     }
@@ -91,7 +92,7 @@
     let mut random = random();
     for number in 0..60_u64 {
         let prompt = if number % 2 == 0 { hot.clone() } else { prompt(number + 100) };
-        let placed = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random).unwrap();
+        let placed = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random).unwrap();
         pool.begin(NOW, &placed.upstream.incarnation());
     }
     let loads: BTreeMap<_, _> =
@@ -106,7 +107,7 @@
     let mut pool = pool(6, 48);
     let prompt = prompt(10);
     let settings = PlacementSettings { routers: 8, ..SETTINGS };
-    let home = place(&pool, NOW, &demand(Some(&prompt)), &settings, &mut random()).unwrap();
+    let home = place(&pool, NOW, &request(Some(&prompt)), &settings, &mut random()).unwrap();
     pool.begin(NOW, &home.upstream.incarnation());
     for number in 0..6 {
         let id = format!("i-{number}");
@@ -115,7 +116,7 @@
             pool.report(NOW, &other, LoadReport { running: 3, waiting: 0 });
         }
     }
-    let next = place(&pool, NOW, &demand(Some(&prompt)), &settings, &mut random()).unwrap();
+    let next = place(&pool, NOW, &request(Some(&prompt)), &settings, &mut random()).unwrap();
     assert_eq!(next.reason, Reason::Home);
     assert!(next.load > 1.0 + 3.0 && next.load < 1.0 + 2.0 * 3.0, "{next:?}");
 }
@@ -124,7 +125,7 @@
 fn plain_requests_go_to_the_least_loaded_replica_of_the_zone() {
     let mut pool = pool(4, 6);
     let mut random = random();
-    let first = place(&pool, NOW, &demand(None), &SETTINGS, &mut random).unwrap();
+    let first = place(&pool, NOW, &request(None), &SETTINGS, &mut random).unwrap();
     assert_eq!(&*first.upstream.zone, "a");
     for id in ["i-0", "i-2"] {
         let upstream = incarnation(&pool, id);
@@ -132,7 +133,7 @@
             pool.begin(NOW, &upstream);
         }
     }
-    let next = place(&pool, NOW, &demand(None), &SETTINGS, &mut random).unwrap();
+    let next = place(&pool, NOW, &request(None), &SETTINGS, &mut random).unwrap();
     assert_eq!(&*next.upstream.zone, "b");
 }
 
@@ -153,9 +154,9 @@
 #[test]
 fn what_cannot_be_answered_in_time_is_refused_at_once() {
     let pool = full_pool(false);
-    let refusal = place(&pool, NOW, &demand(None), &SETTINGS, &mut random()).unwrap_err();
+    let refusal = place(&pool, NOW, &request(None), &SETTINGS, &mut random()).unwrap_err();
     assert_eq!((refusal.reason, refusal.http_status()), (RefusalReason::Overloaded, 503));
-    let begun = Demand { is_begun: true, ..demand(None) };
+    let begun = PlacementRequest { is_begun: true, ..request(None) };
     assert!(place(&pool, NOW, &begun, &SETTINGS, &mut random()).is_ok(), "it has begun");
 }
 
@@ -170,10 +171,11 @@
         pool.first_byte(NOW, Duration::from_secs(2), 7);
     }
     let prompt = prompt(10);
-    let place = |demand: &Demand<'_>| place(&pool, NOW, demand, &SETTINGS, &mut random());
-    let demand = demand(Some(&prompt));
-    assert_eq!(place(&demand).unwrap_err().reason, RefusalReason::Limited);
-    assert!(place(&Demand { is_begun: true, ..demand }).is_ok());
+    let place =
+        |request: &PlacementRequest<'_>| place(&pool, NOW, request, &SETTINGS, &mut random());
+    let request = request(Some(&prompt));
+    assert_eq!(place(&request).unwrap_err().reason, RefusalReason::Limited);
+    assert!(place(&PlacementRequest { is_begun: true, ..request }).is_ok());
 }
 
 /// Guards against a refusal while places are free: a hot key has filled the first of its order.
@@ -192,7 +194,7 @@
             pool.report(NOW, &upstream, LoadReport { running, waiting: 0 });
         }
         let prompt = prompt(key);
-        let placed = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
+        let placed = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
         assert_eq!(placed.reason, Reason::Spill);
         assert!(order[5..].iter().any(|id| **id == *placed.upstream.id), "{placed:?}");
     }
@@ -214,7 +216,7 @@
     let mut placed = std::collections::BTreeMap::<_, u32>::new();
     for router in 0..700 {
         let mut random = Pcg32::seed_from_u64(router);
-        let placement = place(&pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random).unwrap();
+        let placement = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random).unwrap();
         *placed.entry(placement.upstream.id.clone()).or_default() += 1;
     }
     assert!(order[..4].iter().all(|id| !placed.contains_key(&**id)), "{placed:?}");
@@ -227,11 +229,11 @@
 fn where_all_are_full_a_prompt_goes_to_the_first_few_of_its_order() {
     let mut pool = full_pool(true);
     pool.set_target(Some(Duration::from_secs(3_600)));
-    let waits = Demand { remaining: Duration::from_secs(3_600), ..demand(None) };
+    let waits = PlacementRequest { remaining: Duration::from_secs(3_600), ..request(None) };
     for key in 10..60 {
         let prompt = prompt(key);
-        let demand = Demand { prompt: Some(&prompt), ..waits };
-        let placed = place(&pool, NOW, &demand, &SETTINGS, &mut random()).unwrap();
+        let request = PlacementRequest { prompt: Some(&prompt), ..waits };
+        let placed = place(&pool, NOW, &request, &SETTINGS, &mut random()).unwrap();
         let mut order: Vec<&str> =
             pool.members().iter().map(|member| &*member.upstream.id).collect();
         order.sort_by_key(|id| std::cmp::Reverse(score(key, identity(id))));
@@ -241,7 +243,7 @@
 
 #[test]
 fn a_service_without_replicas_is_refused_with_a_time_to_return() {
-    let refusal = place(&pool(0, 1), NOW, &demand(None), &SETTINGS, &mut random()).unwrap_err();
+    let refusal = place(&pool(0, 1), NOW, &request(None), &SETTINGS, &mut random()).unwrap_err();
     assert_eq!(refusal.http_status(), 503);
     assert!(refusal.retry_after.is_some());
 }
@@ -251,8 +253,8 @@
 fn replicas_that_were_tried_are_left_out() {
     let pool = pool(3, 6);
     let tried = ["i-0".into(), "i-2".into()];
-    let demand = Demand { tried: &tried, ..demand(None) };
-    let placed = place(&pool, NOW, &demand, &SETTINGS, &mut random()).unwrap();
+    let request = PlacementRequest { tried: &tried, ..request(None) };
+    let placed = place(&pool, NOW, &request, &SETTINGS, &mut random()).unwrap();
     assert_eq!(&*placed.upstream.id, "i-1");
 }
 
@@ -315,7 +317,7 @@
 /// Places a request with a key.
 fn place_key(pool: &Pool, key: u64) -> Placement {
     let prompt = prompt(key);
-    place(pool, NOW, &demand(Some(&prompt)), &SETTINGS, &mut random()).unwrap()
+    place(pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap()
 }
 
 /// Guards against copies of prompts from a replica that lost them as it started again.
--- a/teaselworks_policy/tests/returns.rs
+++ b/teaselworks_policy/tests/returns.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg32;
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
-use teaselworks_policy::placement::{Demand, Returns};
+use teaselworks_policy::placement::{PlacementRequest, Returns};
 use teaselworks_policy::retry::BudgetSettings;
 use teaselworks_policy::upstream::{Change, LoadReport, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -54,7 +54,7 @@
     let mut fleet = Fleet::new(FleetSettings { load_factor: 2.0, budget }, membership, 1);
     let upstream = Upstream::example("i-1", "service");
     fleet.apply(&Change::Serving(upstream.clone()));
-    let demand = Demand {
+    let request = PlacementRequest {
         prompt: None,
         zone: "a",
         tried: &[],
@@ -63,12 +63,12 @@
         is_begun: false,
         is_late: false,
     };
-    assert!(fleet.place(SECOND, "service", &demand).is_ok());
+    assert!(fleet.place(SECOND, "service", &request).is_ok());
     let incarnation = upstream.incarnation();
     fleet.end(2 * SECOND, "service", &incarnation, Some(Symptom::Answered), SECOND);
     let report = LoadReport { running: 8, waiting: 30 };
     fleet.report(2 * SECOND, "service", &incarnation, report);
-    let refusal = fleet.place(2 * SECOND, "service", &demand).unwrap_err();
+    let refusal = fleet.place(2 * SECOND, "service", &request).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::Overloaded);
     let retry_after = refusal.retry_after.unwrap();
     assert!(retry_after > Duration::ZERO && retry_after <= SECOND, "{retry_after:?}");
