--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -6,7 +6,7 @@
 
 use http::Uri;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
-use teaselworks_policy::placement::{Part, Prompt};
+use teaselworks_policy::placement::{Prompt, PromptPart};
 use teaselworks_policy::upstream::LoadReport;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -135,7 +135,7 @@
     for part in single(headers, &PROMPT_PREFIX).unwrap_or_default().split(',') {
         let Some((id, tokens)) = part.trim().split_once(':') else { continue };
         let id = u64::from_str_radix(id, 16).ok()?;
-        parts.push(Part { id, tokens: tokens.parse().ok()? });
+        parts.push(PromptPart { id, tokens: tokens.parse().ok()? });
     }
     Some(Prompt {
         parts,
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -7,7 +7,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
-use teaselworks_policy::placement::{Part, Placement, PlacementRequest, Prompt};
+use teaselworks_policy::placement::{Placement, PlacementRequest, Prompt, PromptPart};
 use teaselworks_policy::retry::BudgetSettings;
 use teaselworks_policy::upstream::{Change, Upstream};
 use teaselworks_policy::verdict::Refusal;
@@ -84,7 +84,7 @@
     let deadline = Deadline::new(now, Some(remaining), milliseconds(kind.deadline_ms));
     let parts = [(1, 1), (call.key, kind.shared_tokens), (u64::MAX, kind.own_tokens)];
     let prompt = Prompt {
-        parts: parts.map(|(id, tokens)| Part { id, tokens }).to_vec(),
+        parts: parts.map(|(id, tokens)| PromptPart { id, tokens }).to_vec(),
         input_tokens: kind.shared_tokens + kind.own_tokens,
         output_tokens: kind.answer_tokens,
     };
--- a/teaselworks_policy/benches/placement.rs
+++ b/teaselworks_policy/benches/placement.rs
@@ -5,7 +5,9 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
-use teaselworks_policy::placement::{Part, PlacementRequest, PlacementSettings, Prompt, place};
+use teaselworks_policy::placement::{
+    PlacementRequest, PlacementSettings, Prompt, PromptPart, place,
+};
 use teaselworks_policy::upstream::{Pool, Upstream};
 
 fn pool(replicas: u32) -> Pool {
@@ -18,7 +20,7 @@
 
 fn placement(criterion: &mut Criterion) {
     let settings = PlacementSettings { capacity_factor: 2.0, routers: 8 };
-    let parts = [1, 2, 3].map(|id| Part { id, tokens: 100 }).to_vec();
+    let parts = [1, 2, 3].map(|id| PromptPart { id, tokens: 100 }).to_vec();
     let prompt = Prompt { parts, input_tokens: 300, output_tokens: 100 };
     let mut random = rand_pcg::Pcg32::seed_from_u64(1);
     for replicas in [18, 800] {
--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -8,6 +8,6 @@
 mod scan;
 
 pub use self::choice::{Placement, PlacementRequest, PlacementSettings, Reason, place};
-pub use self::prompt::{Part, Prompt};
+pub use self::prompt::{Prompt, PromptPart};
 pub use self::rendezvous::{identity, score};
 pub use self::returns::Returns;
--- a/teaselworks_policy/src/placement/prompt.rs
+++ b/teaselworks_policy/src/placement/prompt.rs
@@ -2,7 +2,7 @@
 
 /// A part of a prompt; the same part of other prompts has the same identifier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// Identifier.
     pub id: u64,
     /// Length.
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
     /// Parts in order; the last belongs to the request or its chat alone.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Length of the whole prompt.
     pub input_tokens: u32,
     /// Longest answer.
@@ -25,9 +25,9 @@
     /// that others may share, or the only part.
     ///
     /// ```
-    /// use teaselworks_policy::placement::{Part, Prompt};
+    /// use teaselworks_policy::placement::{Prompt, PromptPart};
     ///
-    /// let parts = [1, 2, 3].map(|id| Part { id, tokens: 10 }).to_vec();
+    /// let parts = [1, 2, 3].map(|id| PromptPart { id, tokens: 10 }).to_vec();
     /// let prompt = Prompt { parts, input_tokens: 30, output_tokens: 5 };
     /// assert_eq!(prompt.key(), Some(2));
     /// ```
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -6,7 +6,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use teaselworks_policy::placement::{
-    Part, Placement, PlacementRequest, PlacementSettings, Prompt, Reason, identity, place, score,
+    Placement, PlacementRequest, PlacementSettings, Prompt, PromptPart, Reason, identity, place,
+    score,
 };
 use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -33,7 +34,7 @@
 }
 
 fn prompt(key: u64) -> Prompt {
-    let parts = [1, key, 1_000_000 + key].map(|id| Part { id, tokens: 100 }).to_vec();
+    let parts = [1, key, 1_000_000 + key].map(|id| PromptPart { id, tokens: 100 }).to_vec();
     Prompt { parts, input_tokens: 300, output_tokens: 50 }
 }
 
