--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -9,5 +9,5 @@
 
 pub use self::choice::{Placement, PlacementRequest, PlacementSettings, Reason, place};
 pub use self::prompt::{Prompt, PromptPart};
-pub use self::rendezvous::{identity, score};
+pub use self::rendezvous::{hash_upstream_id, rendezvous_score};
 pub use self::returns::Returns;
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{PlacementRequest, score};
+use super::{PlacementRequest, rendezvous_score};
 use crate::upstream::{Foreign, Member, Pool, Usual};
 
 /// Replicas of a key's order that are kept; where none of them has room, the order ends.
@@ -101,7 +101,7 @@
         let (mut own, mut reported, mut trusted) = (0_u32, 0.0, 0.0);
         let (mut open_count, mut count, mut slots) = (0, 0, 0_u32);
         for member in self.pool.members() {
-            let score = self.key.map_or(0, |key| score(key, member.identity));
+            let score = self.key.map_or(0, |key| rendezvous_score(key, member.identity));
             let is_usable = member.health.is_usable(self.now);
             if is_usable && self.key.is_some() && !member.is_blank && !member.is_suspended {
                 self.lenders.add(score, member);
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
 
-use crate::placement::{Returns, identity, score};
+use crate::placement::{Returns, hash_upstream_id, rendezvous_score};
 
 use super::{
     ConcurrencyLimit, Health, HeardOf, Incarnation, Judged, Load, LoadReport, Reach,
@@ -45,7 +45,7 @@
 impl Member {
     fn new(upstream: Upstream, is_blank: bool) -> Self {
         Self {
-            identity: identity(&upstream.id),
+            identity: hash_upstream_id(&upstream.id),
             is_draining: upstream.is_draining,
             upstream: Arc::new(upstream),
             load: Load::default(),
@@ -63,7 +63,7 @@
     fn incarnation_hash(&self) -> u64 {
         let started = self.upstream.started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
         let started_ms = started.map_or(0, |since| since.as_millis() as u64);
-        score(started_ms, self.identity)
+        rendezvous_score(started_ms, self.identity)
     }
 }
 
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use teaselworks_policy::placement::{
-    Placement, PlacementRequest, PlacementSettings, Prompt, PromptPart, Reason, identity, place,
-    score,
+    Placement, PlacementRequest, PlacementSettings, Prompt, PromptPart, Reason, hash_upstream_id,
+    place, rendezvous_score,
 };
 use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -186,7 +186,7 @@
         let mut pool = pool(8, 4);
         pool.set_target(Some(Duration::from_millis(300)));
         let mut order: Vec<String> = (0..8).map(|number| format!("i-{number}")).collect();
-        order.sort_by_key(|id| std::cmp::Reverse(score(key, identity(id))));
+        order.sort_by_key(|id| std::cmp::Reverse(rendezvous_score(key, hash_upstream_id(id))));
         for (rank, id) in order.iter().enumerate() {
             let upstream = incarnation(&pool, id);
             pool.begin(NOW, &upstream);
@@ -208,7 +208,7 @@
     let mut pool = pool(32, 16);
     let key = 10;
     let mut order: Vec<String> = (0..32).map(|number| format!("i-{number}")).collect();
-    order.sort_by_key(|id| std::cmp::Reverse(score(key, identity(id))));
+    order.sort_by_key(|id| std::cmp::Reverse(rendezvous_score(key, hash_upstream_id(id))));
     for (rank, id) in order.iter().enumerate() {
         let running = if rank < 4 { 30 } else { 4 };
         pool.report(NOW, &incarnation(&pool, id), LoadReport { running, waiting: 0 });
@@ -237,7 +237,7 @@
         let placed = place(&pool, NOW, &request, &SETTINGS, &mut random()).unwrap();
         let mut order: Vec<&str> =
             pool.members().iter().map(|member| &*member.upstream.id).collect();
-        order.sort_by_key(|id| std::cmp::Reverse(score(key, identity(id))));
+        order.sort_by_key(|id| std::cmp::Reverse(rendezvous_score(key, hash_upstream_id(id))));
         assert_ne!(&*placed.upstream.id, order[3]);
     }
 }
