--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -196,7 +196,7 @@
             }
             Err(refusal) if refusal.reason.is_overload() => {
                 let retry_after =
-                    pool.returns.schedule(now, request.latest_return, &mut self.random);
+                    pool.returns.next_retry_after(now, request.latest_return, &mut self.random);
                 Err(Refusal { retry_after: Some(retry_after), ..refusal })
             }
             Err(refusal) => Err(refusal),
@@ -253,7 +253,7 @@
     /// Returns when a caller whose request replicas turned away should come back.
     pub fn return_after(&mut self, now: Duration, service: &str, latest: Duration) -> Duration {
         match self.pools.get_mut(service) {
-            Some(pool) => pool.returns.schedule(now, latest, &mut self.random),
+            Some(pool) => pool.returns.next_retry_after(now, latest, &mut self.random),
             None => UNKNOWN_RETURN.min(latest),
         }
     }
--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -4,10 +4,10 @@
 mod choice;
 mod prompt;
 mod rendezvous;
-mod returns;
+mod retry_after;
 mod scan;
 
 pub use self::choice::{Placement, PlacementRequest, PlacementSettings, Reason, place};
 pub use self::prompt::{Prompt, PromptPart};
 pub use self::rendezvous::{hash_upstream_id, rendezvous_score};
-pub use self::returns::Returns;
+pub use self::retry_after::RetryAfterSchedule;
--- a/teaselworks_policy/src/placement/returns.rs
+++ b/teaselworks_policy/src/placement/retry_after.rs
@@ -19,14 +19,14 @@
 /// Schedule of returns to one service: one after the other, at a part of the rate at which requests
 /// are placed there.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
+pub struct RetryAfterSchedule {
     next: Duration,
     placed_per_s: f64,
     placed_at: Duration,
     refused_at: Option<Duration>,
 }
 
-impl Returns {
+impl RetryAfterSchedule {
     /// Counts a request that was placed.
     pub fn on_placed(&mut self, now: Duration) {
         self.placed_per_s = self.rate(now) + 1.0 / RATE_TIME.as_secs_f64();
@@ -38,15 +38,20 @@
     /// ```
     /// use std::time::Duration;
     /// use rand::SeedableRng;
-    /// use teaselworks_policy::placement::Returns;
+    /// use teaselworks_policy::placement::RetryAfterSchedule;
     ///
     /// let mut random = rand_pcg::Pcg32::seed_from_u64(1);
-    /// let mut returns = Returns::default();
+    /// let mut schedule = RetryAfterSchedule::default();
     /// let second = Duration::from_secs(1);
-    /// let first = returns.schedule(Duration::ZERO, 60 * second, &mut random);
-    /// assert!(returns.schedule(Duration::ZERO, 60 * second, &mut random) > first);
+    /// let first = schedule.next_retry_after(Duration::ZERO, 60 * second, &mut random);
+    /// assert!(schedule.next_retry_after(Duration::ZERO, 60 * second, &mut random) > first);
     /// ```
-    pub fn schedule(&mut self, now: Duration, latest: Duration, random: &mut impl Rng) -> Duration {
+    pub fn next_retry_after(
+        &mut self,
+        now: Duration,
+        latest: Duration,
+        random: &mut impl Rng,
+    ) -> Duration {
         self.refused_at = Some(now);
         let rate = self.rate(now).max(LEAST_PER_S) * RETURN_SHARE;
         let next = self.next.max(now + SHORTEST_RETURN) + Duration::from_secs_f64(1.0 / rate);
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
 
-use crate::placement::{Returns, hash_upstream_id, rendezvous_score};
+use crate::placement::{RetryAfterSchedule, hash_upstream_id, rendezvous_score};
 
 use super::{
     ConcurrencyLimit, Health, HeardOf, Incarnation, Judged, Load, LoadReport, Reach,
@@ -76,7 +76,7 @@
     reports_load: bool,
     concurrency: ConcurrencyLimit,
     /// When callers that were refused come back.
-    pub returns: Returns,
+    pub returns: RetryAfterSchedule,
 }
 
 impl Pool {
--- a/teaselworks_policy/tests/returns.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg32;
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
-use teaselworks_policy::placement::{PlacementRequest, Returns};
+use teaselworks_policy::placement::{PlacementRequest, RetryAfterSchedule};
 use teaselworks_policy::retry::BudgetSettings;
 use teaselworks_policy::upstream::{Change, LoadReport, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -18,13 +18,13 @@
 #[test]
 fn returns_are_spread_at_a_part_of_the_rate_of_placements() {
     let mut random = Pcg32::seed_from_u64(1);
-    let mut returns = Returns::default();
+    let mut schedule = RetryAfterSchedule::default();
     for step in 0..1_000_u32 {
-        returns.on_placed(SECOND * step / 100);
+        schedule.on_placed(SECOND * step / 100);
     }
     let now = 10 * SECOND;
     let times: Vec<Duration> =
-        (0..20).map(|_| returns.schedule(now, 60 * SECOND, &mut random)).collect();
+        (0..20).map(|_| schedule.next_retry_after(now, 60 * SECOND, &mut random)).collect();
     assert!(times[0] < SECOND / 2, "{times:?}");
     assert!(times.windows(2).all(|pair| pair[1] > pair[0] + SECOND / 20), "{times:?}");
     assert!(times[19] < 3 * SECOND, "{times:?}");
@@ -34,16 +34,16 @@
 #[test]
 fn who_cannot_wait_for_a_turn_takes_none() {
     let mut random = Pcg32::seed_from_u64(1);
-    let mut returns = Returns::default();
-    let patient = |returns: &mut Returns, random: &mut Pcg32| {
-        returns.schedule(Duration::ZERO, 3_600 * SECOND, random)
+    let mut schedule = RetryAfterSchedule::default();
+    let patient = |schedule: &mut RetryAfterSchedule, random: &mut Pcg32| {
+        schedule.next_retry_after(Duration::ZERO, 3_600 * SECOND, random)
     };
-    let first = patient(&mut returns, &mut random);
+    let first = patient(&mut schedule, &mut random);
     for _ in 0..50 {
-        let hurried = returns.schedule(Duration::ZERO, SECOND, &mut random);
+        let hurried = schedule.next_retry_after(Duration::ZERO, SECOND, &mut random);
         assert!(hurried <= SECOND && hurried >= SECOND * 3 / 4);
     }
-    assert!(patient(&mut returns, &mut random) < 3 * first);
+    assert!(patient(&mut schedule, &mut random) < 3 * first);
 }
 
 /// Guards against a refusal of a full service that does not tell when to come back.
@@ -82,12 +82,12 @@
         placed in 0_u32..200,
     ) {
         let mut random = Pcg32::seed_from_u64(1);
-        let mut returns = Returns::default();
+        let mut schedule = RetryAfterSchedule::default();
         for _ in 0..placed {
-            returns.on_placed(SECOND);
+            schedule.on_placed(SECOND);
         }
         for latest in latest_ms.into_iter().map(Duration::from_millis) {
-            prop_assert!(returns.schedule(SECOND, latest, &mut random) <= latest);
+            prop_assert!(schedule.next_retry_after(SECOND, latest, &mut random) <= latest);
         }
     }
 }
