--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -182,7 +182,7 @@
         request: &PlacementRequest<'_>,
     ) -> Result<Placement, Refusal> {
         let settings = PlacementSettings {
-            capacity_factor: self.settings.load_factor,
+            load_factor: self.settings.load_factor,
             routers: self.membership.live(),
         };
         let Some(pool) = self.pools.get_mut(service) else {
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
     /// Multiple of the mean load of a service that no replica should exceed.
-    pub capacity_factor: f64,
+    pub load_factor: f64,
     /// Routers that are alive, this one included.
     pub routers: u32,
 }
@@ -112,7 +112,7 @@
 ///     is_begun: false,
 ///     is_late: false,
 /// };
-/// let settings = PlacementSettings { capacity_factor: 2.0, routers: 1 };
+/// let settings = PlacementSettings { load_factor: 2.0, routers: 1 };
 /// let mut random = rand_pcg::Pcg32::seed_from_u64(1);
 /// assert!(place(&Pool::default(), Duration::ZERO, &request, &settings, &mut random).is_err());
 /// ```
@@ -215,7 +215,7 @@
 
 /// Returns the load that no replica should exceed.
 fn bound(scan: &Scan<'_>, settings: &PlacementSettings) -> f64 {
-    let excess = (settings.capacity_factor - 1.0).max(0.0) * USED_EXCESS;
+    let excess = (settings.load_factor - 1.0).max(0.0) * USED_EXCESS;
     scan.mean_load() * (1.0 + excess) + SPARE_REQUESTS
 }
 
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -66,7 +66,7 @@
         is_begun: false,
         is_late: false,
     };
-    let settings = PlacementSettings { capacity_factor: 2.0, routers: 1 };
+    let settings = PlacementSettings { load_factor: 2.0, routers: 1 };
     let mut random = Pcg32::seed_from_u64(1);
     let placed = (0..200).map(|_| place(pool, SECOND, &request, &settings, &mut random).unwrap());
     placed.map(|placement| placement.upstream.id.clone()).collect::<BTreeSet<_>>().len()
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -13,7 +13,7 @@
 use teaselworks_policy::verdict::RefusalReason;
 
 const NOW: Duration = Duration::from_secs(5);
-const SETTINGS: PlacementSettings = PlacementSettings { capacity_factor: 2.0, routers: 1 };
+const SETTINGS: PlacementSettings = PlacementSettings { load_factor: 2.0, routers: 1 };
 
 fn pool(replicas: u32, slots: u32) -> Pool {
     let mut pool = Pool::default();
