--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -50,7 +50,7 @@
             remaining: deadline.remaining(now),
             latest_return: deadline.latest_return(now),
             is_late: self.prepared.is_late,
-            is_begun: resumed_after.is_some() || self.runs > 0,
+            has_started: resumed_after.is_some() || self.runs > 0,
         };
         let mut placement = self.shared.fleet().place(now, &self.prepared.service, &request)?;
         placement.holder = placement.holder.filter(|_| self.copies_prompts());
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -94,7 +94,7 @@
         tried,
         remaining,
         latest_return: deadline.latest_return(now),
-        is_begun: false,
+        has_started: false,
         is_late,
     };
     fleet.place(now, SERVICE, &request)
--- a/teaselworks_policy/benches/placement.rs
+++ b/teaselworks_policy/benches/placement.rs
@@ -31,7 +31,7 @@
             tried: &[],
             remaining: Duration::from_secs(10),
             latest_return: Duration::from_secs(3),
-            is_begun: false,
+            has_started: false,
             is_late: false,
         };
         criterion.bench_function(&format!("placement of a prompt, {replicas} replicas"), |bench| {
--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -23,7 +23,7 @@
     is_crowded: bool,
     request: &PlacementRequest<'_>,
 ) -> Option<RefusalReason> {
-    if request.is_begun {
+    if request.has_started {
         return None;
     }
     if is_crowded && request.is_late {
@@ -41,7 +41,7 @@
     usual: &Usual,
     settings: &PlacementSettings,
 ) -> bool {
-    if request.is_begun {
+    if request.has_started {
         return false;
     }
     let longest = pool.target().map_or(request.remaining, |target| target.mul_f64(WAIT_SHARE));
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -51,7 +51,7 @@
     /// Longest time after which its caller can still come back.
     pub latest_return: Duration,
     /// Its answer has begun: it goes on also where new requests are refused.
-    pub is_begun: bool,
+    pub has_started: bool,
     /// Its caller was refused before and came back.
     pub is_late: bool,
 }
@@ -109,7 +109,7 @@
 ///     tried: &[],
 ///     remaining: Duration::from_secs(1),
 ///     latest_return: Duration::from_secs(1),
-///     is_begun: false,
+///     has_started: false,
 ///     is_late: false,
 /// };
 /// let settings = PlacementSettings { load_factor: 2.0, routers: 1 };
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -63,7 +63,7 @@
         tried: &[],
         remaining: SECOND,
         latest_return: SECOND,
-        is_begun: false,
+        has_started: false,
         is_late: false,
     };
     let settings = PlacementSettings { load_factor: 2.0, routers: 1 };
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -47,7 +47,7 @@
         tried: &[],
         remaining,
         latest_return: second,
-        is_begun: false,
+        has_started: false,
         is_late: false,
     }
 }
@@ -157,7 +157,7 @@
     let pool = full_pool(false);
     let refusal = place(&pool, NOW, &request(None), &SETTINGS, &mut random()).unwrap_err();
     assert_eq!((refusal.reason, refusal.http_status()), (RefusalReason::Overloaded, 503));
-    let begun = PlacementRequest { is_begun: true, ..request(None) };
+    let begun = PlacementRequest { has_started: true, ..request(None) };
     assert!(place(&pool, NOW, &begun, &SETTINGS, &mut random()).is_ok(), "it has begun");
 }
 
@@ -176,7 +176,7 @@
         |request: &PlacementRequest<'_>| place(&pool, NOW, request, &SETTINGS, &mut random());
     let request = request(Some(&prompt));
     assert_eq!(place(&request).unwrap_err().reason, RefusalReason::Limited);
-    assert!(place(&PlacementRequest { is_begun: true, ..request }).is_ok());
+    assert!(place(&PlacementRequest { has_started: true, ..request }).is_ok());
 }
 
 /// Guards against a refusal while places are free: a hot key has filled the first of its order.
--- a/teaselworks_policy/tests/retry_after.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -60,7 +60,7 @@
         tried: &[],
         remaining: 2 * SECOND,
         latest_return: SECOND,
-        is_begun: false,
+        has_started: false,
         is_late: false,
     };
     assert!(fleet.place(SECOND, "service", &request).is_ok());
