--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -21,7 +21,7 @@
     ]);
     let prompt = read_request(&headers).unwrap().prompt.unwrap();
     assert_eq!((prompt.input_tokens, prompt.output_tokens), (1_460, 80));
-    assert_eq!(prompt.key(), Some(0x91bd_3f06));
+    assert_eq!(prompt.affinity_key(), Some(0x91bd_3f06));
 }
 
 #[test]
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -123,7 +123,7 @@
     settings: &PlacementSettings,
     random: &mut impl Rng,
 ) -> Result<Placement, Refusal> {
-    let key = request.prompt.and_then(Prompt::key);
+    let key = request.prompt.and_then(Prompt::affinity_key);
     let Some(scan) = Scan::new(pool, now, request, key, settings.routers) else {
         let retry_after = ABSENCE_RETRY.min(request.latest_return);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
--- a/teaselworks_policy/src/placement/prompt.rs
+++ b/teaselworks_policy/src/placement/prompt.rs
@@ -29,9 +29,9 @@
     ///
     /// let parts = [1, 2, 3].map(|id| PromptPart { id, tokens: 10 }).to_vec();
     /// let prompt = Prompt { parts, input_tokens: 30, output_tokens: 5 };
-    /// assert_eq!(prompt.key(), Some(2));
+    /// assert_eq!(prompt.affinity_key(), Some(2));
     /// ```
-    pub fn key(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         let shared = self.parts.len().saturating_sub(2);
         self.parts.get(shared).map(|part| part.id)
     }
