--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request is sent to.
+//! Chooses the upstream that a request is sent to, or refuses the request.
 
 mod admission;
 mod choice;
--- a/teaselworks_policy/src/placement/prompt.rs
+++ b/teaselworks_policy/src/placement/prompt.rs
@@ -1,28 +1,31 @@
-//! The parts of a prompt, of which earlier ones are shared with other requests.
+//! Describes a prompt as a sequence of parts, of which the first ones may be shared with other
+//! requests.
 
-/// A part of a prompt; the same part of other prompts has the same identifier.
+/// Part of a prompt. The same part has the same identifier in every prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Identifier.
+    /// Identifier of the part.
     pub id: u64,
-    /// Length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a request says about its prompt.
+/// Prompt of a request to a model engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// Parts in order; the last belongs to the request or its chat alone.
+    /// Parts in order. Other requests may share all but the last one, which belongs to this request
+    /// or its chat alone.
     pub parts: Vec<PromptPart>,
-    /// Length of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub input_tokens: u32,
-    /// Longest answer.
+    /// Maximum length of the answer in tokens.
     pub output_tokens: u32,
 }
 
 impl Prompt {
-    /// Returns the key by which requests with the same shared parts come together: the last part
-    /// that others may share, or the only part.
+    /// Returns the key that routes requests with the same shared parts to the same replica: the
+    /// identifier of the last part that other requests may share, or of the only part. Returns `None`
+    /// for a prompt without parts.
     ///
     /// ```
     /// use teaselworks_policy::placement::{Prompt, PromptPart};
@@ -32,7 +35,7 @@
     /// assert_eq!(prompt.affinity_key(), Some(2));
     /// ```
     pub fn affinity_key(&self) -> Option<u64> {
-        let shared = self.parts.len().saturating_sub(2);
-        self.parts.get(shared).map(|part| part.id)
+        let last_shared = self.parts.len().saturating_sub(2);
+        self.parts.get(last_shared).map(|part| part.id)
     }
 }
--- a/teaselworks_policy/src/placement/rendezvous.rs
+++ b/teaselworks_policy/src/placement/rendezvous.rs
@@ -1,9 +1,8 @@
-//! Rendezvous hashing: each router orders the upstreams for a key in the same way.
+//! Rendezvous hashing: every router ranks the upstreams for a key in the same order.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the hash of an upstream's identifier, of which [`rendezvous_score`] makes its place in
-/// orders.
+/// Returns the hash of an upstream's identifier, from which [`rendezvous_score`] computes scores.
 ///
 /// ```
 /// use teaselworks_policy::placement::hash_upstream_id;
@@ -14,9 +13,10 @@
     xxh3_64(upstream_id.as_bytes())
 }
 
-/// Scores an upstream for a key; the highest score is the key's first choice.
+/// Returns the score of an upstream for a key. The upstream with the highest score is the first in
+/// the key's order.
 ///
-/// An upstream that comes or goes moves only the keys that it has or had.
+/// When an upstream is added or removed, only the keys whose first upstream it becomes or was move.
 ///
 /// ```
 /// use teaselworks_policy::placement::{hash_upstream_id, rendezvous_score};
@@ -31,7 +31,8 @@
 /// );
 /// ```
 pub fn rendezvous_score(key: u64, upstream_hash: u64) -> u64 {
-    // The finalizer of SplitMix64: each bit of the input changes half of the output.
+    // Finalizer of SplitMix64: flipping one input bit flips each output bit with a probability of
+    // about one half.
     let mut mixed = upstream_hash ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
