--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -1,7 +1,7 @@
-//! Whether a request is sent to the chosen replica or refused.
+//! Decides whether a request is sent to the chosen replica or refused.
 //!
-//! Answers load beyond what replicas bear: what waits in them longer than callers aim at is answered
-//! late, and delays what is still in time.
+//! Under overload, requests that queue in a replica for too long are answered after the target
+//! latency of their callers, and delay requests that could still be answered in time.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use crate::upstream::{Member, Pool, Usual};
 use crate::verdict::RefusalReason;
 
-/// Part of what callers aim at that a request may wait for a slot. The same for every request of a
-/// service: with less for some, these would never find a place under load.
-const WAIT_SHARE: f64 = 0.15;
+/// Share of the target latency that a request may wait for a slot. It is the same for every request
+/// of a service: requests with a smaller share would never be placed under load.
+const MAX_WAIT_SHARE: f64 = 0.15;
 
-/// Returns why a service has no room for a request, whatever replica it would go to.
+/// Returns the reason to refuse a request whichever replica it would go to, or `None` to admit it.
 ///
-/// While nearly all slots are taken, callers that can still be answered in time go before those that
-/// are late already.
-pub(super) fn lacks_room(
+/// While nearly all slots of the service are taken, callers that can still be answered in time have
+/// priority over callers that are already late. A request that has started is always admitted.
+pub(super) fn service_refusal(
     pool: &Pool,
     now: Duration,
     is_crowded: bool,
@@ -32,8 +32,11 @@
     pool.is_saturated(now, is_crowded).then_some(RefusalReason::Limited)
 }
 
-/// Tells whether a replica would not answer a request in time.
-pub(super) fn is_too_late(
+/// Tells whether a request would wait at the replica for longer than it may.
+///
+/// It may wait for a share of the service's target latency, and never beyond its deadline. A request
+/// that has started may wait at any replica.
+pub(super) fn exceeds_max_wait(
     pool: &Pool,
     member: &Member,
     now: Duration,
@@ -44,13 +47,13 @@
     if request.has_started {
         return false;
     }
-    let longest = pool.target().map_or(request.remaining, |target| target.mul_f64(WAIT_SHARE));
+    let max_wait = pool.target().map_or(request.remaining, |target| target.mul_f64(MAX_WAIT_SHARE));
     let wait = expected_wait(member, now, usual, settings);
-    wait.is_some_and(|wait| wait > longest.min(request.remaining))
+    wait.is_some_and(|wait| wait > max_wait.min(request.remaining))
 }
 
-/// Returns the wait for a slot where all are taken; `None` where some is free, or too little is
-/// known to refuse on.
+/// Returns the expected wait for a slot of the replica. Returns `None` if a slot is free, or if too
+/// little is known about the replica to refuse a request.
 fn expected_wait(
     member: &Member,
     now: Duration,
@@ -58,15 +61,17 @@
     settings: &PlacementSettings,
 ) -> Option<Duration> {
     let slots = f64::from(member.upstream.slots.max(1));
-    let ahead = member.load.estimate(now, usual) + 1.0 - slots;
-    if ahead <= 0.0 || !is_known(member, now, settings) {
+    let requests_ahead = member.load.estimate(now, usual) + 1.0 - slots;
+    if requests_ahead <= 0.0 || !has_current_report(member, now, settings) {
         return None;
     }
-    Some(member.mean_time?.mul_f64(ahead / slots))
+    Some(member.mean_time?.mul_f64(requests_ahead / slots))
 }
 
-/// Tells whether a report is known: without one the load is a guess from few requests, too coarse to
-/// refuse on.
-fn is_known(member: &Member, now: Duration, settings: &PlacementSettings) -> bool {
+/// Tells whether the replica's last load report is recent enough to be used.
+///
+/// Without such a report, the load is extrapolated from few requests, which is too inaccurate to
+/// refuse a request.
+fn has_current_report(member: &Member, now: Duration, settings: &PlacementSettings) -> bool {
     member.load.foreign(now, settings.routers).is_some()
 }
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -128,14 +128,14 @@
         let retry_after = ABSENCE_RETRY.min(request.latest_return);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
-    if let Some(reason) = admission::lacks_room(pool, now, scan.is_crowded(), request) {
+    if let Some(reason) = admission::service_refusal(pool, now, scan.is_crowded(), request) {
         return Err(Refusal::not_run(reason, None));
     }
     let mut choice = match key {
         Some(_) => by_reuse(&scan, now, settings, random),
         None => by_load(&scan, now, request.zone, random),
     };
-    if admission::is_too_late(pool, choice.member, now, request, scan.usual(), settings) {
+    if admission::exceeds_max_wait(pool, choice.member, now, request, scan.usual(), settings) {
         let has_room_elsewhere = key.is_some() && !scan.is_crowded();
         let spilt = has_room_elsewhere.then(|| spill(&scan, now, settings, random)).flatten();
         choice = spilt.ok_or(Refusal::not_run(RefusalReason::Overloaded, None))?;
