--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -173,12 +173,12 @@
     random: &mut impl Rng,
 ) -> Choice<'a> {
     let bound = bound(scan, settings);
-    let looked = look(scan.first(), now, scan.usual(), bound);
+    let looked = look(scan.ranked(), now, scan.usual(), bound);
     if let Looked::Found(choice) = looked {
         return choice;
     }
     let load = |member: &Member| member.load.estimate(now, scan.usual());
-    let least = least_loaded(scan.first().take(FULL_CHOICES), bound, load);
+    let least = least_loaded(scan.ranked().take(FULL_CHOICES), bound, load);
     let waits_there = scan.is_crowded() || least.load + 1.0 <= bound * FULL_EXCESS;
     if matches!(looked, Looked::Full) && waits_there {
         return least;
@@ -257,7 +257,7 @@
 /// Returns the replica with the least load, those of the same zone before others.
 fn by_load<'a>(scan: &Scan<'a>, now: Duration, zone: &str, random: &mut impl Rng) -> Choice<'a> {
     // Where replicas are alike, routers must not all choose the first one listed.
-    let offset = random.random_range(0..scan.count());
+    let offset = random.random_range(0..scan.candidate_count());
     let order = scan.candidates().skip(offset).chain(scan.candidates().take(offset));
     let cost = |member: &Member| {
         let way = if &*member.upstream.zone == zone { 0.0 } else { ZONE_PENALTY };
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -1,4 +1,4 @@
-//! One look at every replica of a service: what they hold together, and the first few of a key.
+//! Collects the load totals of a service's replicas and the first replicas in a key's order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,35 +6,37 @@
 use super::{PlacementRequest, rendezvous_score};
 use crate::upstream::{Foreign, Member, Pool, Usual};
 
-/// Replicas of a key's order that are kept; where none of them has room, the order ends.
-const FIRST: usize = 4;
+/// Number of replicas that are kept from the start of a key's order. The search of the order ends if
+/// none of them has room.
+const RANKED_REPLICAS: usize = 4;
 
-/// Part of a service's slots beyond which nearly all are taken.
-const CROWDED: f64 = 0.9;
+/// Share of a service's slots in use at which the service counts as crowded.
+const CROWDED_SHARE: f64 = 0.9;
 
-/// The members with the highest scores, in order.
-struct Top<'a, const N: usize> {
+/// The `N` members with the highest scores, highest score first.
+struct TopScored<'a, const N: usize> {
     scores: [u64; N],
     members: [Option<&'a Member>; N],
 }
 
-impl<'a, const N: usize> Top<'a, N> {
+impl<'a, const N: usize> TopScored<'a, N> {
     fn new() -> Self {
         Self { scores: [0; N], members: [None; N] }
     }
 
+    /// Inserts a member if its score is among the `N` highest. A score of 0 is never inserted.
     fn add(&mut self, score: u64, member: &'a Member) {
         if score <= self.scores[N - 1] {
             return;
         }
-        let mut place = N - 1;
-        while place > 0 && score > self.scores[place - 1] {
-            self.scores[place] = self.scores[place - 1];
-            self.members[place] = self.members[place - 1];
-            place -= 1;
+        let mut index = N - 1;
+        while index > 0 && score > self.scores[index - 1] {
+            self.scores[index] = self.scores[index - 1];
+            self.members[index] = self.members[index - 1];
+            index -= 1;
         }
-        self.scores[place] = score;
-        self.members[place] = Some(member);
+        self.scores[index] = score;
+        self.members[index] = Some(member);
     }
 
     fn iter(&self) -> impl Iterator<Item = &'a Member> + use<'a, '_, N> {
@@ -42,29 +44,39 @@
     }
 }
 
-/// What a look at the replicas of a service found.
+/// The replicas that a request may be sent to (the candidates), with their load totals and the first
+/// ones in the order of the request's key.
 pub(super) struct Scan<'a> {
     pool: &'a Pool,
     now: Duration,
+    /// Identifiers of the upstreams that the request was sent to already.
     tried: &'a [Arc<str>],
+    /// Affinity key of the request's prompt.
     key: Option<u64>,
-    only_usable: bool,
-    count: usize,
-    /// Requests there, as far as they are known.
-    known: f64,
-    /// Replicas of whose other requests nothing is known, with parts.
-    unknown: f64,
+    /// Ejected replicas are not candidates.
+    has_only_usable: bool,
+    candidate_count: usize,
+    /// Requests at the candidates: all of this router's, and those of other routers as reported,
+    /// each weighted by the trust in the report.
+    known_requests: f64,
+    /// Number of candidates without a load report. A report that is trusted in part counts as a
+    /// fraction.
+    unreported_count: f64,
+    /// Total slots of the candidates.
     slots: u32,
     usual: Usual,
-    first: Top<'a, FIRST>,
-    /// Members that may lend what they keep of a prompt.
-    lenders: Top<'a, 2>,
+    /// First candidates in the key's order; empty without a key.
+    ranked: TopScored<'a, RANKED_REPLICAS>,
+    /// First replicas in the key's order from which the cached prompt can be copied. Replicas that
+    /// drain or were tried are included; those that have answered nothing since a restart are not.
+    holders: TopScored<'a, 2>,
 }
 
 impl<'a> Scan<'a> {
-    /// Looks at the replicas that a request may be sent to; `None` where there is none.
+    /// Scans the replicas that the request may be sent to. Returns `None` if there are none.
     ///
-    /// At least half of a service stays in use: where more seem ill, the fault lies elsewhere.
+    /// If less than half of the replicas are usable, ejections are ignored: a fault that seems to
+    /// affect that many replicas at once is more likely elsewhere.
     pub(super) fn new(
         pool: &'a Pool,
         now: Duration,
@@ -77,114 +89,119 @@
             now,
             tried: request.tried,
             key,
-            only_usable: true,
-            count: 0,
-            known: 0.0,
-            unknown: 0.0,
+            has_only_usable: true,
+            candidate_count: 0,
+            known_requests: 0.0,
+            unreported_count: 0.0,
             slots: 0,
             usual: Usual { foreign: 0.0, own: 0.0, routers },
-            first: Top::new(),
-            lenders: Top::new(),
+            ranked: TopScored::new(),
+            holders: TopScored::new(),
         };
-        let open_count = scan.look(routers);
-        if scan.count * 2 < open_count {
-            scan.only_usable = false;
-            scan.first = Top::new();
-            scan.lenders = Top::new();
-            scan.look(routers);
+        let eligible_count = scan.collect(routers);
+        if scan.candidate_count * 2 < eligible_count {
+            scan.has_only_usable = false;
+            scan.ranked = TopScored::new();
+            scan.holders = TopScored::new();
+            scan.collect(routers);
         }
-        (scan.count > 0).then_some(scan)
+        (scan.candidate_count > 0).then_some(scan)
     }
 
-    /// Takes the sums over all candidates; returns how many there would be with the ejected ones.
-    fn look(&mut self, routers: u32) -> usize {
-        let (mut own, mut reported, mut trusted) = (0_u32, 0.0, 0.0);
-        let (mut open_count, mut count, mut slots) = (0, 0, 0_u32);
+    /// Collects totals and ranks over all candidates. Returns the number of replicas that would be
+    /// candidates if none were ejected.
+    fn collect(&mut self, routers: u32) -> usize {
+        let (mut own, mut reported, mut trust_sum) = (0_u32, 0.0, 0.0);
+        let (mut eligible_count, mut candidate_count, mut slots) = (0, 0, 0_u32);
         for member in self.pool.members() {
             let score = self.key.map_or(0, |key| rendezvous_score(key, member.identity));
             let is_usable = member.health.is_usable(self.now);
             if is_usable && self.key.is_some() && !member.is_blank && !member.is_suspended {
-                self.lenders.add(score, member);
+                self.holders.add(score, member);
             }
-            if !is_open(member, self.tried) {
+            if !is_eligible(member, self.tried) {
                 continue;
             }
-            open_count += 1;
-            if self.only_usable && !is_usable {
+            eligible_count += 1;
+            if self.has_only_usable && !is_usable {
                 continue;
             }
-            count += 1;
+            candidate_count += 1;
             own += member.load.own();
             slots = slots.saturating_add(member.upstream.slots);
             if let Some(Foreign { requests, trust }) = member.load.foreign(self.now, routers) {
                 reported += requests * trust;
-                trusted += trust;
+                trust_sum += trust;
             }
-            self.first.add(score, member);
+            self.ranked.add(score, member);
         }
         let own = f64::from(own);
-        self.count = count;
+        self.candidate_count = candidate_count;
         self.slots = slots;
-        self.known = own + reported;
-        self.unknown = count as f64 - trusted;
-        // As many for each other router as this one has, where no replica says it. By the guess
-        // alone, one own request at a replica that has not reported lately would count for as many
-        // as there are routers.
-        let guessed = own * f64::from(routers.saturating_sub(1)) / count.max(1) as f64;
-        self.usual.own = own / count.max(1) as f64;
-        self.usual.foreign = if trusted > 0.0 { reported / trusted } else { guessed };
-        open_count
+        self.known_requests = own + reported;
+        self.unreported_count = candidate_count as f64 - trust_sum;
+        // Without any report, every other router is assumed to have as many requests as this one.
+        // With reports, their mean is used instead: under the assumption alone, one request of this
+        // router at a replica that has not reported lately would count as one from every router.
+        let assumed = own * f64::from(routers.saturating_sub(1)) / candidate_count.max(1) as f64;
+        self.usual.own = own / candidate_count.max(1) as f64;
+        self.usual.foreign = if trust_sum > 0.0 { reported / trust_sum } else { assumed };
+        eligible_count
     }
 
     fn is_candidate(&self, member: &Member) -> bool {
-        is_open(member, self.tried) && (!self.only_usable || member.health.is_usable(self.now))
+        is_eligible(member, self.tried)
+            && (!self.has_only_usable || member.health.is_usable(self.now))
     }
 
-    /// Returns what other routers usually have at a replica.
+    /// Returns the mean load of a candidate, from which the load of a replica without a recent report
+    /// is estimated.
     pub(super) fn usual(&self) -> &Usual {
         &self.usual
     }
 
+    /// Returns the estimated number of requests of all routers at the candidates.
     fn total_load(&self) -> f64 {
-        self.known + self.unknown * self.usual.foreign
+        self.known_requests + self.unreported_count * self.usual.foreign
     }
 
-    /// Returns the mean number of requests at a replica.
+    /// Returns the estimated mean number of requests at a candidate.
     pub(super) fn mean_load(&self) -> f64 {
-        self.total_load() / self.count as f64
+        self.total_load() / self.candidate_count as f64
     }
 
-    /// Tells whether nearly all slots are taken.
+    /// Tells whether nearly all slots of the candidates are taken.
     pub(super) fn is_crowded(&self) -> bool {
-        self.total_load() >= CROWDED * f64::from(self.slots)
+        self.total_load() >= CROWDED_SHARE * f64::from(self.slots)
     }
 
-    /// Returns the number of replicas that the request may be sent to.
-    pub(super) fn count(&self) -> usize {
-        self.count
+    /// Returns the number of candidates.
+    pub(super) fn candidate_count(&self) -> usize {
+        self.candidate_count
     }
 
-    /// Returns the replicas that the request may be sent to, in the order of their listing.
+    /// Returns the candidates in the order of the pool.
     pub(super) fn candidates(&self) -> impl Iterator<Item = &'a Member> {
         self.pool.members().iter().filter(|member| self.is_candidate(member))
     }
 
-    /// Returns the first replicas in the key's order.
-    pub(super) fn first(&self) -> impl Iterator<Item = &'a Member> {
-        self.first.iter()
+    /// Returns the first candidates in the key's order.
+    pub(super) fn ranked(&self) -> impl Iterator<Item = &'a Member> {
+        self.ranked.iter()
     }
 
-    /// Returns the replica, other than the chosen one, that most likely holds the prompt of the key:
-    /// the first in the key's order, also where it drains, or the second where that one was chosen.
+    /// Returns the replica other than `chosen` that most likely has the prompt cached: the first in
+    /// the key's order, even if it drains, or the second if the first was chosen.
     ///
-    /// The second was the first before the chosen one was added. A copy takes less of an engine's
-    /// time than reading the prompt again.
+    /// The second was the first before the chosen replica was added to the service. Copying a cached
+    /// prompt takes less of an engine's time than processing the prompt again.
     pub(super) fn holder(&self, chosen: &Member) -> Option<&'a Member> {
-        self.lenders.iter().find(|member| member.upstream.id != chosen.upstream.id)
+        self.holders.iter().find(|member| member.upstream.id != chosen.upstream.id)
     }
 }
 
-fn is_open(member: &Member, tried: &[Arc<str>]) -> bool {
-    let is_listed = !member.is_draining && !member.is_suspended;
-    is_listed && (tried.is_empty() || !tried.contains(&member.upstream.id))
+/// Tells whether a replica takes requests and was not tried for this request; ignores its health.
+fn is_eligible(member: &Member, tried: &[Arc<str>]) -> bool {
+    let is_available = !member.is_draining && !member.is_suspended;
+    is_available && (tried.is_empty() || !tried.contains(&member.upstream.id))
 }
