--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -34,8 +34,8 @@
 
 /// Tells whether a request would wait at the replica for longer than it may.
 ///
-/// It may wait for a share of the service's target latency, and never beyond its deadline. A request
-/// that has started may wait at any replica.
+/// It may wait for a share of the service's target latency, and never beyond its deadline. A
+/// request that has started may wait at any replica.
 pub(super) fn exceeds_max_wait(
     pool: &Pool,
     member: &Member,
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -1,4 +1,8 @@
-//! Choosing among the replicas of a service: by reuse within a bound on load, or by load alone.
+//! Chooses among the replicas of a service.
+//!
+//! A request with a prompt goes to a replica that likely has the shared parts of the prompt cached,
+//! within a bound on the load of that replica. A request without a prompt goes to the replica with
+//! the least load.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,91 +15,101 @@
 use crate::upstream::{Member, Pool, Upstream, Usual};
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Time after which a caller may come back to a service without a usable replica: ejected replicas
-/// are tried again after a second, new ones are listed within one.
-const ABSENCE_RETRY: Duration = Duration::from_millis(1_000);
-/// Part of the allowed excess over the mean load that is used: other routers act on the same loads
-/// before any of them is reported again.
-const USED_EXCESS: f64 = 0.6;
-/// Requests that a replica may hold beyond the bound, so that small loads are not spread for it.
+/// Retry-after time for a service without a usable replica: an ejected replica is tried again after
+/// one second, and a new replica is listed within one second.
+const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Share of the load above the mean that [`PlacementSettings::load_factor`] allows and that this
+/// router uses. The rest is left for the other routers, which place requests by the same load
+/// reports before the replicas report again.
+const USED_EXCESS_SHARE: f64 = 0.6;
+/// Number of requests added to the load bound, so that it does not spread a key over several
+/// replicas while the load is small.
 const SPARE_REQUESTS: f64 = 3.0;
-/// Replicas of a key's order without a slot after which the least loaded of them is taken, if its
-/// wait is short: any other would read the prompt anew.
-const FULL_CHOICES: usize = 2;
-/// Multiple of the bound on load up to which it is: many routers act on the same late reports, and
-/// would all go on filling the first replicas of a hot key.
-const FULL_EXCESS: f64 = 1.2;
-/// Time that a request to another zone must win to be worth its way, as a part of a replica's load.
+/// Number of replicas without a free slot at which the search of a key's order stops. If the wait
+/// is short, the request then queues at the least loaded of as many first replicas in the order:
+/// any other replica would have to process the prompt again.
+const MAX_FULL_REPLICAS: usize = 2;
+/// Multiple of the load bound up to which a request may queue at one of the first replicas in a
+/// key's order. Many routers act on the same outdated reports; without a limit, all of them would
+/// keep filling the first replicas of a hot key.
+const QUEUE_BOUND_FACTOR: f64 = 1.2;
+/// Load added to a replica in another zone, in requests, when loads are compared: a request goes to
+/// another zone only if the smaller load there saves more time than the longer network path costs.
 const ZONE_PENALTY: f64 = 0.5;
 
-/// Bounds that placing keeps.
+/// Limits on the placement of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Multiple of the mean load of a service that no replica should exceed.
+    /// Multiple of the mean load of a service that the load of a replica should not exceed.
     pub load_factor: f64,
-    /// Routers that are alive, this one included.
+    /// Number of live routers, including this one.
     pub routers: u32,
 }
 
-/// A request that needs a replica.
+/// A request for which a replica is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// Prompt, where the service consists of model engines.
+    /// Prompt of the request, if the service consists of model engines.
     pub prompt: Option<&'a Prompt>,
-    /// Zone of this router.
+    /// Availability zone of this router.
     pub zone: &'a str,
-    /// Upstreams that it was sent to already.
+    /// Identifiers of the upstreams that the request was already sent to.
     pub tried: &'a [Arc<str>],
-    /// Time that is left to it.
+    /// Time left until the deadline of the request.
     pub remaining: Duration,
-    /// Longest time after which its caller can still come back.
+    /// Maximum retry-after time with which the caller can still be answered in time.
     pub latest_return: Duration,
-    /// Its answer has begun: it goes on also where new requests are refused.
+    /// Whether the answer has begun or an earlier attempt may have run. Such a request is placed
+    /// even where new requests are refused for overload.
     pub has_started: bool,
-    /// Its caller was refused before and came back.
+    /// Whether the caller was refused before and has retried.
     pub is_late: bool,
 }
 
-/// Why a replica was chosen.
+/// Reason for the choice of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
-    /// It is the first choice of the request's key.
+pub enum PlacementReason {
+    /// The replica is the first in the order of the request's key.
     Home,
-    /// It is the first in the key's order whose load is within the bound.
+    /// Replicas before it in the key's order are full or over the load bound.
     Spill,
-    /// It has the least load.
+    /// The replica has the least load of those that were compared.
     LeastLoad,
 }
 
-impl Reason {
-    /// Returns the name in logs.
+impl PlacementReason {
+    /// Returns the name of the reason in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reason::Home => "home",
-            Reason::Spill => "spill",
-            Reason::LeastLoad => "least_load",
+            PlacementReason::Home => "home",
+            PlacementReason::Spill => "spill",
+            PlacementReason::LeastLoad => "least_load",
         }
     }
 }
 
-/// A chosen replica, and what decided.
+/// A chosen replica and the data behind the choice.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The replica.
+    /// Chosen replica.
     pub upstream: Arc<Upstream>,
-    /// Why it was chosen.
-    pub reason: Reason,
-    /// Believed number of requests there.
+    /// Reason for the choice.
+    pub reason: PlacementReason,
+    /// Estimated number of requests at the replica. For a request without a prompt, this number
+    /// plus the penalty for another zone, divided by the slots of the replica.
     pub load: f64,
-    /// Bound on that number.
+    /// Upper bound on `load` that applied; infinite for a request without a prompt.
     pub bound: f64,
-    /// Age of the report behind the belief, where there is one.
+    /// Age of the replica's last load report, if there is one.
     pub report_age: Option<Duration>,
-    /// Another replica that may hold more of the prompt.
+    /// Address of another replica that may have more of the prompt cached.
     pub holder: Option<SocketAddr>,
 }
 
-/// Chooses a replica, or refuses where none can answer in time.
+/// Chooses a replica for a request.
+///
+/// Returns a refusal as error if the service has no usable replica that was not tried, if it is
+/// overloaded, or if the request would wait too long for a slot.
 ///
 /// ```
 /// use std::time::Duration;
@@ -125,36 +139,37 @@
 ) -> Result<Placement, Refusal> {
     let key = request.prompt.and_then(Prompt::affinity_key);
     let Some(scan) = Scan::new(pool, now, request, key, settings.routers) else {
-        let retry_after = ABSENCE_RETRY.min(request.latest_return);
+        let retry_after = NO_REPLICA_RETRY_AFTER.min(request.latest_return);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
     if let Some(reason) = admission::service_refusal(pool, now, scan.is_crowded(), request) {
         return Err(Refusal::not_run(reason, None));
     }
     let mut choice = match key {
-        Some(_) => by_reuse(&scan, now, settings, random),
-        None => by_load(&scan, now, request.zone, random),
+        Some(_) => choose_by_affinity(&scan, now, settings, random),
+        None => choose_by_load(&scan, now, request.zone, random),
     };
     if admission::exceeds_max_wait(pool, choice.member, now, request, scan.usual(), settings) {
         let has_room_elsewhere = key.is_some() && !scan.is_crowded();
-        let spilt = has_room_elsewhere.then(|| spill(&scan, now, settings, random)).flatten();
-        choice = spilt.ok_or(Refusal::not_run(RefusalReason::Overloaded, None))?;
+        let spillover =
+            has_room_elsewhere.then(|| choose_spillover(&scan, now, settings, random)).flatten();
+        choice = spillover.ok_or(Refusal::not_run(RefusalReason::Overloaded, None))?;
     }
-    let mut placement = choice.placement(now);
+    let mut placement = choice.to_placement(now);
     placement.holder = scan.holder(choice.member).map(|member| member.upstream.address);
     Ok(placement)
 }
 
-/// A replica, and what decided for it.
+/// A replica and the data behind its choice, without the holder of the prompt.
 struct Choice<'a> {
     member: &'a Member,
-    reason: Reason,
+    reason: PlacementReason,
     load: f64,
     bound: f64,
 }
 
 impl Choice<'_> {
-    fn placement(&self, now: Duration) -> Placement {
+    fn to_placement(&self, now: Duration) -> Placement {
         let Self { member, reason, load, bound } = *self;
         let report_age = member.load.report_age(now);
         let upstream = member.upstream.clone();
@@ -162,41 +177,43 @@
     }
 }
 
-/// Returns the first replica in the key's order whose load is within the bound.
+/// Chooses the first replica in the key's order that has a free slot and is within the load bound.
 ///
-/// Where the first few have no room, the least loaded of them takes a request whose wait there is
-/// short; a key that is hotter than that spills over all others.
-fn by_reuse<'a>(
+/// If the first replicas in the order are full, the request queues at the least loaded of them as
+/// long as the wait there is short or nearly all slots of the service are taken. Otherwise, the
+/// requests of a hot key spill over to all replicas that have room.
+fn choose_by_affinity<'a>(
     scan: &Scan<'a>,
     now: Duration,
     settings: &PlacementSettings,
     random: &mut impl Rng,
 ) -> Choice<'a> {
-    let bound = bound(scan, settings);
-    let looked = look(scan.ranked(), now, scan.usual(), bound);
-    if let Looked::Found(choice) = looked {
+    let bound = load_bound(scan, settings);
+    let search = search_order(scan.ranked(), now, scan.usual(), bound);
+    if let OrderSearch::Found(choice) = search {
         return choice;
     }
     let load = |member: &Member| member.load.estimate(now, scan.usual());
-    let least = least_loaded(scan.ranked().take(FULL_CHOICES), bound, load);
-    let waits_there = scan.is_crowded() || least.load + 1.0 <= bound * FULL_EXCESS;
-    if matches!(looked, Looked::Full) && waits_there {
+    let least = least_loaded(scan.ranked().take(MAX_FULL_REPLICAS), bound, load);
+    let may_queue = scan.is_crowded() || least.load + 1.0 <= bound * QUEUE_BOUND_FACTOR;
+    if matches!(search, OrderSearch::Full) && may_queue {
         return least;
     }
-    spill(scan, now, settings, random).unwrap_or(least)
+    choose_spillover(scan, now, settings, random).unwrap_or(least)
 }
 
-/// Returns one of the replicas that have room, by chance in proportion to it.
+/// Chooses at random among the replicas that have a free slot and are within the load bound, with a
+/// probability in proportion to the room that is left below the bound.
 ///
-/// Answers a hot key at many routers, which hear late of each other's choices: the next replica of
-/// the key's order would get the requests of all of them.
-fn spill<'a>(
+/// Routers learn of each other's choices with a delay. If a hot key spilled to the next replica in
+/// its order, that replica would get the requests of all routers.
+fn choose_spillover<'a>(
     scan: &Scan<'a>,
     now: Duration,
     settings: &PlacementSettings,
     random: &mut impl Rng,
 ) -> Option<Choice<'a>> {
-    let bound = bound(scan, settings);
+    let bound = load_bound(scan, settings);
     let mut chosen = None;
     let mut total_room = 0.0;
     for member in scan.candidates() {
@@ -207,66 +224,75 @@
         let room = bound - load;
         total_room += room;
         if random.random_range(0.0..total_room) < room {
-            chosen = Some(Choice { member, reason: Reason::Spill, load, bound });
+            chosen = Some(Choice { member, reason: PlacementReason::Spill, load, bound });
         }
     }
     chosen
 }
 
-/// Returns the load that no replica should exceed.
-fn bound(scan: &Scan<'_>, settings: &PlacementSettings) -> f64 {
-    let excess = (settings.load_factor - 1.0).max(0.0) * USED_EXCESS;
+/// Returns the number of requests that a replica should not exceed.
+fn load_bound(scan: &Scan<'_>, settings: &PlacementSettings) -> f64 {
+    let excess = (settings.load_factor - 1.0).max(0.0) * USED_EXCESS_SHARE;
     scan.mean_load() * (1.0 + excess) + SPARE_REQUESTS
 }
 
-/// What a look along an order of replicas found.
-enum Looked<'a> {
-    /// The first that is within the bound and has a slot.
+/// Result of [`search_order`].
+enum OrderSearch<'a> {
+    /// The first replica that has a free slot and is within the load bound.
     Found(Choice<'a>),
-    /// Too many without a slot.
+    /// [`MAX_FULL_REPLICAS`] replicas had no free slot.
     Full,
-    /// None within the bound.
-    Beyond,
+    /// The order ended without a replica that has a free slot and is within the load bound.
+    NotFound,
 }
 
-fn look<'a>(
+/// Searches an order of replicas for the first one that has a free slot and is within the load
+/// bound.
+fn search_order<'a>(
     order: impl Iterator<Item = &'a Member>,
     now: Duration,
     usual: &Usual,
     bound: f64,
-) -> Looked<'a> {
-    let mut full = 0;
+) -> OrderSearch<'a> {
+    let mut full_count = 0;
     for (rank, member) in order.enumerate() {
         let load = member.load.estimate(now, usual);
         if load >= f64::from(member.upstream.slots) {
-            full += 1;
-            if full == FULL_CHOICES {
-                return Looked::Full;
+            full_count += 1;
+            if full_count == MAX_FULL_REPLICAS {
+                return OrderSearch::Full;
             }
             continue;
         }
         if load + 1.0 > bound {
             continue;
         }
-        let reason = if rank == 0 { Reason::Home } else { Reason::Spill };
-        return Looked::Found(Choice { member, reason, load, bound });
+        let reason = if rank == 0 { PlacementReason::Home } else { PlacementReason::Spill };
+        return OrderSearch::Found(Choice { member, reason, load, bound });
     }
-    Looked::Beyond
+    OrderSearch::NotFound
 }
 
-/// Returns the replica with the least load, those of the same zone before others.
-fn by_load<'a>(scan: &Scan<'a>, now: Duration, zone: &str, random: &mut impl Rng) -> Choice<'a> {
-    // Where replicas are alike, routers must not all choose the first one listed.
+/// Chooses the replica with the least load per slot, preferring those in this router's zone.
+fn choose_by_load<'a>(
+    scan: &Scan<'a>,
+    now: Duration,
+    zone: &str,
+    random: &mut impl Rng,
+) -> Choice<'a> {
+    // The order starts at a random replica: with equal loads, all routers would otherwise choose
+    // the first one listed.
     let offset = random.random_range(0..scan.candidate_count());
     let order = scan.candidates().skip(offset).chain(scan.candidates().take(offset));
     let cost = |member: &Member| {
-        let way = if &*member.upstream.zone == zone { 0.0 } else { ZONE_PENALTY };
+        let zone_penalty = if &*member.upstream.zone == zone { 0.0 } else { ZONE_PENALTY };
         let slots = f64::from(member.upstream.slots.max(1));
-        (member.load.estimate(now, scan.usual()) + way) / slots
+        (member.load.estimate(now, scan.usual()) + zone_penalty) / slots
     };
     least_loaded(order, f64::INFINITY, cost)
 }
 
+/// Returns the first replica with the lowest cost; the cost becomes the load of the choice.
 fn least_loaded<'a>(
     order: impl Iterator<Item = &'a Member>,
     bound: f64,
@@ -274,6 +300,6 @@
 ) -> Choice<'a> {
     let costs = order.map(|member| (cost(member), member));
     let least = costs.reduce(|least, other| if other.0 < least.0 { other } else { least });
-    let (load, member) = least.expect("a scan finds a replica");
-    Choice { member, reason: Reason::LeastLoad, load, bound }
+    let (load, member) = least.expect("a scan has at least one replica");
+    Choice { member, reason: PlacementReason::LeastLoad, load, bound }
 }
--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -7,7 +7,7 @@
 mod retry_after;
 mod scan;
 
-pub use self::choice::{Placement, PlacementRequest, PlacementSettings, Reason, place};
+pub use self::choice::{Placement, PlacementReason, PlacementRequest, PlacementSettings, place};
 pub use self::prompt::{Prompt, PromptPart};
 pub use self::rendezvous::{hash_upstream_id, rendezvous_score};
 pub use self::retry_after::RetryAfterSchedule;
--- a/teaselworks_policy/src/placement/prompt.rs
+++ b/teaselworks_policy/src/placement/prompt.rs
@@ -24,8 +24,8 @@
 
 impl Prompt {
     /// Returns the key that routes requests with the same shared parts to the same replica: the
-    /// identifier of the last part that other requests may share, or of the only part. Returns `None`
-    /// for a prompt without parts.
+    /// identifier of the last part that other requests may share, or of the only part. Returns
+    /// `None` for a prompt without parts.
     ///
     /// ```
     /// use teaselworks_policy::placement::{Prompt, PromptPart};
--- a/teaselworks_policy/src/placement/retry_after.rs
+++ b/teaselworks_policy/src/placement/retry_after.rs
@@ -33,7 +33,8 @@
         self.placed_at = now;
     }
 
-    /// Returns the time after which a caller that is refused now should come back, at most `latest`.
+    /// Returns the time after which a caller that is refused now should come back, at most
+    /// `latest`.
     ///
     /// ```
     /// use std::time::Duration;
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -6,8 +6,8 @@
 use super::{PlacementRequest, rendezvous_score};
 use crate::upstream::{Foreign, Member, Pool, Usual};
 
-/// Number of replicas that are kept from the start of a key's order. The search of the order ends if
-/// none of them has room.
+/// Number of replicas that are kept from the start of a key's order. The search of the order ends
+/// if none of them has room.
 const RANKED_REPLICAS: usize = 4;
 
 /// Share of a service's slots in use at which the service counts as crowded.
@@ -44,8 +44,8 @@
     }
 }
 
-/// The replicas that a request may be sent to (the candidates), with their load totals and the first
-/// ones in the order of the request's key.
+/// The replicas that a request may be sent to (the candidates), with their load totals and the
+/// first ones in the order of the request's key.
 pub(super) struct Scan<'a> {
     pool: &'a Pool,
     now: Duration,
@@ -53,7 +53,7 @@
     tried: &'a [Arc<str>],
     /// Affinity key of the request's prompt.
     key: Option<u64>,
-    /// Ejected replicas are not candidates.
+    /// Whether only usable replicas are candidates, or ejected ones as well.
     has_only_usable: bool,
     candidate_count: usize,
     /// Requests at the candidates: all of this router's, and those of other routers as reported,
@@ -154,8 +154,8 @@
             && (!self.has_only_usable || member.health.is_usable(self.now))
     }
 
-    /// Returns the mean load of a candidate, from which the load of a replica without a recent report
-    /// is estimated.
+    /// Returns the mean load of a candidate, from which the load of a replica without a recent
+    /// report is estimated.
     pub(super) fn usual(&self) -> &Usual {
         &self.usual
     }
@@ -193,8 +193,8 @@
     /// Returns the replica other than `chosen` that most likely has the prompt cached: the first in
     /// the key's order, even if it drains, or the second if the first was chosen.
     ///
-    /// The second was the first before the chosen replica was added to the service. Copying a cached
-    /// prompt takes less of an engine's time than processing the prompt again.
+    /// The second was the first before the chosen replica was added to the service. Copying a
+    /// cached prompt takes less of an engine's time than processing the prompt again.
     pub(super) fn holder(&self, chosen: &Member) -> Option<&'a Member> {
         self.holders.iter().find(|member| member.upstream.id != chosen.upstream.id)
     }
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use teaselworks_policy::placement::{
-    Placement, PlacementRequest, PlacementSettings, Prompt, PromptPart, Reason, hash_upstream_id,
-    place, rendezvous_score,
+    Placement, PlacementReason, PlacementRequest, PlacementSettings, Prompt, PromptPart,
+    hash_upstream_id, place, rendezvous_score,
 };
 use teaselworks_policy::upstream::{Incarnation, LoadReport, Pool, Symptom, Upstream};
 use teaselworks_policy::verdict::RefusalReason;
@@ -65,7 +65,7 @@
         let mut other_router = Pcg32::seed_from_u64(key);
         let again = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut other_router);
         assert_eq!(again.unwrap().upstream.id, first.upstream.id);
-        assert_eq!(first.reason, Reason::Home);
+        assert_eq!(first.reason, PlacementReason::Home);
     }
 }
 
@@ -118,7 +118,7 @@
         }
     }
     let next = place(&pool, NOW, &request(Some(&prompt)), &settings, &mut random()).unwrap();
-    assert_eq!(next.reason, Reason::Home);
+    assert_eq!(next.reason, PlacementReason::Home);
     assert!(next.load > 1.0 + 3.0 && next.load < 1.0 + 2.0 * 3.0, "{next:?}");
 }
 
@@ -196,7 +196,7 @@
         }
         let prompt = prompt(key);
         let placed = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
-        assert_eq!(placed.reason, Reason::Spill);
+        assert_eq!(placed.reason, PlacementReason::Spill);
         assert!(order[5..].iter().any(|id| **id == *placed.upstream.id), "{placed:?}");
     }
 }
