--- a/teaselworks_policy/src/placement/retry_after.rs
+++ b/teaselworks_policy/src/placement/retry_after.rs
@@ -1,40 +1,49 @@
-//! When callers that were refused come back.
+//! Computes the retry-after times of refused callers.
 //!
-//! Answers many refusals at once: callers that return together, or sooner than there is room, are
-//! refused again.
+//! Under overload, many callers are refused at once. Callers that retry at the same time, or before
+//! the service has room, are refused again.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Shortest time after which a caller comes back: sooner it would meet the same requests.
-const SHORTEST_RETURN: Duration = Duration::from_millis(50);
-/// Time over which placements are counted for the rate.
-const RATE_TIME: Duration = Duration::from_secs(1);
-/// Part of the places that returning callers get: while any are refused, new ones take the rest.
-const RETURN_SHARE: f64 = 0.1;
-/// Smallest rate: a service that places nothing is asked now and then.
-const LEAST_PER_S: f64 = 1.0;
+/// Minimum retry-after time: a caller that retries sooner finds the same requests still in
+/// progress.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Time constant of the exponential decay of the placement rate.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Share of the placement rate at which refused callers retry. New requests take the rest while
+/// callers are being refused.
+const RETRY_SHARE: f64 = 0.1;
+/// Minimum placement rate to assume, in requests per second, so that callers still retry now and
+/// then at a service where no requests are placed.
+const MIN_PLACED_PER_S: f64 = 1.0;
 
-/// Schedule of returns to one service: one after the other, at a part of the rate at which requests
-/// are placed there.
+/// Schedule of the retries of refused callers at one service.
+///
+/// Callers retry one after the other, at a share of the rate at which requests are placed at the
+/// service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryAfterSchedule {
-    next: Duration,
+    /// Time of the last scheduled retry.
+    last_retry_at: Duration,
+    /// Placement rate in requests per second at `placed_at`.
     placed_per_s: f64,
+    /// Time of the last placement.
     placed_at: Duration,
+    /// Time of the last refusal.
     refused_at: Option<Duration>,
 }
 
 impl RetryAfterSchedule {
-    /// Counts a request that was placed.
+    /// Counts a placed request towards the placement rate.
     pub fn on_placed(&mut self, now: Duration) {
-        self.placed_per_s = self.rate(now) + 1.0 / RATE_TIME.as_secs_f64();
+        self.placed_per_s = self.placement_rate(now) + 1.0 / RATE_TIME_CONSTANT.as_secs_f64();
         self.placed_at = now;
     }
 
-    /// Returns the time after which a caller that is refused now should come back, at most
-    /// `latest`.
+    /// Schedules a retry for a caller that is refused now. Returns the retry-after time, which is
+    /// at most `max_retry_after`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -50,28 +59,31 @@
     pub fn next_retry_after(
         &mut self,
         now: Duration,
-        latest: Duration,
+        max_retry_after: Duration,
         random: &mut impl Rng,
     ) -> Duration {
         self.refused_at = Some(now);
-        let rate = self.rate(now).max(LEAST_PER_S) * RETURN_SHARE;
-        let next = self.next.max(now + SHORTEST_RETURN) + Duration::from_secs_f64(1.0 / rate);
-        let wait = next.saturating_sub(now);
-        if wait > latest {
-            // It cannot wait for its turn, which another one gets.
-            return latest.mul_f64(random.random_range(0.75..1.0));
+        let retries_per_s = self.placement_rate(now).max(MIN_PLACED_PER_S) * RETRY_SHARE;
+        let retry_at = self.last_retry_at.max(now + MIN_RETRY_AFTER)
+            + Duration::from_secs_f64(1.0 / retries_per_s);
+        let retry_after = retry_at.saturating_sub(now);
+        if retry_after > max_retry_after {
+            // The caller cannot wait that long, so the scheduled time stays free for another
+            // caller. The random time keeps such callers from retrying at the same moment.
+            return max_retry_after.mul_f64(random.random_range(0.75..1.0));
         }
-        self.next = next;
-        wait
+        self.last_retry_at = retry_at;
+        retry_after
     }
 
-    /// Returns when a caller was last refused.
+    /// Returns the time of the last refusal, if there was one.
     pub fn refused_at(&self) -> Option<Duration> {
         self.refused_at
     }
 
-    fn rate(&self, now: Duration) -> f64 {
+    /// Returns the decayed placement rate in requests per second.
+    fn placement_rate(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.placed_at).as_secs_f64();
-        self.placed_per_s * (-age / RATE_TIME.as_secs_f64()).exp()
+        self.placed_per_s * (-age / RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/teaselworks_policy/tests/retry_after.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! When callers that were refused come back.
+//! Tests of the retry-after times of refused callers.
 
 use std::time::Duration;
 
@@ -14,41 +14,43 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Guards against callers that return together and are refused again.
+/// Guards against many callers being refused at once, retrying at the same time and being refused
+/// again.
 #[test]
-fn returns_are_spread_at_a_part_of_the_rate_of_placements() {
+fn retries_are_spread_at_a_share_of_the_placement_rate() {
     let mut random = Pcg32::seed_from_u64(1);
     let mut schedule = RetryAfterSchedule::default();
     for step in 0..1_000_u32 {
         schedule.on_placed(SECOND * step / 100);
     }
     let now = 10 * SECOND;
-    let times: Vec<Duration> =
+    let retry_after: Vec<Duration> =
         (0..20).map(|_| schedule.next_retry_after(now, 60 * SECOND, &mut random)).collect();
-    assert!(times[0] < SECOND / 2, "{times:?}");
-    assert!(times.windows(2).all(|pair| pair[1] > pair[0] + SECOND / 20), "{times:?}");
-    assert!(times[19] < 3 * SECOND, "{times:?}");
+    assert!(retry_after[0] < SECOND / 2, "{retry_after:?}");
+    assert!(retry_after.windows(2).all(|pair| pair[1] > pair[0] + SECOND / 20), "{retry_after:?}");
+    assert!(retry_after[19] < 3 * SECOND, "{retry_after:?}");
 }
 
-/// Guards against callers with little time that push back the turns of others.
+/// Guards against callers with little time left that delay the retries of other callers: a retry
+/// that is scheduled later than the caller can wait for must not take up a place in the schedule.
 #[test]
-fn who_cannot_wait_for_a_turn_takes_none() {
+fn callers_that_cannot_wait_do_not_delay_other_retries() {
     let mut random = Pcg32::seed_from_u64(1);
     let mut schedule = RetryAfterSchedule::default();
-    let patient = |schedule: &mut RetryAfterSchedule, random: &mut Pcg32| {
+    let schedule_patient = |schedule: &mut RetryAfterSchedule, random: &mut Pcg32| {
         schedule.next_retry_after(Duration::ZERO, 3_600 * SECOND, random)
     };
-    let first = patient(&mut schedule, &mut random);
+    let first = schedule_patient(&mut schedule, &mut random);
     for _ in 0..50 {
-        let hurried = schedule.next_retry_after(Duration::ZERO, SECOND, &mut random);
-        assert!(hurried <= SECOND && hurried >= SECOND * 3 / 4);
+        let retry_after = schedule.next_retry_after(Duration::ZERO, SECOND, &mut random);
+        assert!(retry_after <= SECOND && retry_after >= SECOND * 3 / 4);
     }
-    assert!(patient(&mut schedule, &mut random) < 3 * first);
+    assert!(schedule_patient(&mut schedule, &mut random) < 3 * first);
 }
 
-/// Guards against a refusal of a full service that does not tell when to come back.
+/// Guards against a refusal without a retry-after time when all slots of a service are taken.
 #[test]
-fn a_full_service_tells_when_to_come_back() {
+fn refusals_of_a_full_service_have_a_retry_after_time() {
     let budget = BudgetSettings { ratio: 0.2, slack: 10.0, window: 10 * SECOND };
     let membership = Membership::new("router".into(), Vec::new());
     let mut fleet = Fleet::new(FleetSettings { load_factor: 2.0, budget }, membership, 1);
@@ -75,10 +77,10 @@
 }
 
 proptest! {
-    /// Guards against a time to return at which the caller has left.
+    /// Guards against a retry-after time that is longer than the caller can wait.
     #[test]
-    fn no_return_is_later_than_its_caller_waits(
-        latest_ms in prop::collection::vec(0_u64..20_000, 1..50),
+    fn no_retry_after_time_exceeds_the_limit_of_the_caller(
+        max_retry_after_ms in prop::collection::vec(0_u64..20_000, 1..50),
         placed in 0_u32..200,
     ) {
         let mut random = Pcg32::seed_from_u64(1);
@@ -86,8 +88,10 @@
         for _ in 0..placed {
             schedule.on_placed(SECOND);
         }
-        for latest in latest_ms.into_iter().map(Duration::from_millis) {
-            prop_assert!(schedule.next_retry_after(SECOND, latest, &mut random) <= latest);
+        for max_retry_after in max_retry_after_ms.into_iter().map(Duration::from_millis) {
+            prop_assert!(
+                schedule.next_retry_after(SECOND, max_retry_after, &mut random) <= max_retry_after
+            );
         }
     }
 }
