--- a/teaselworks_policy/benches/placement.rs
+++ b/teaselworks_policy/benches/placement.rs
@@ -1,4 +1,4 @@
-//! Time of one placement among 800 replicas.
+//! Measures the time to place one request with a prompt among 18 and among 800 replicas.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placing: reuse of kept prompts within a bound on load, and the least load where nothing is kept.
+//! Tests of placement: by cached prompts within a load bound, or by the least load for requests
+//! without a prompt.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -15,6 +16,7 @@
 const NOW: Duration = Duration::from_secs(5);
 const SETTINGS: PlacementSettings = PlacementSettings { load_factor: 2.0, routers: 1 };
 
+/// Returns a service with replicas `i-0`, `i-1` and so on, alternately in zones `a` and `b`.
 fn pool(replicas: u32, slots: u32) -> Pool {
     let mut pool = Pool::default();
     for number in 0..replicas {
@@ -33,6 +35,7 @@
     members.find(|member| *member.upstream.id == *id).unwrap().upstream.incarnation()
 }
 
+/// Returns a prompt of three parts with the affinity key `key`.
 fn prompt(key: u64) -> Prompt {
     let parts = [1, key, 1_000_000 + key].map(|id| PromptPart { id, tokens: 100 }).to_vec();
     Prompt { parts, input_tokens: 300, output_tokens: 50 }
@@ -56,8 +59,10 @@
     Pcg32::seed_from_u64(7)
 }
 
+/// Guards against routers that send requests with a shared prompt part to different replicas: each
+/// of those replicas would process the part again.
 #[test]
-fn requests_that_share_a_part_meet_at_one_replica_from_every_router() {
+fn every_router_sends_requests_with_a_shared_prompt_part_to_the_same_replica() {
     let pool = pool(18, 48);
     for key in 10..200 {
         let prompt = prompt(key);
@@ -69,7 +74,8 @@
     }
 }
 
-/// Guards against every chat losing its cache when one replica leaves.
+/// Guards against every chat losing its cached prompt when one replica is removed: only the keys of
+/// that replica may move.
 #[test]
 fn a_replica_that_leaves_moves_only_its_own_keys() {
     let whole = pool(18, 48);
@@ -85,7 +91,8 @@
     }
 }
 
-/// Guards against one replica that is overloaded by a hot key while others are idle.
+/// Guards against one replica that is overloaded by a hot key while the others are idle: half of
+/// all requests have the same key.
 #[test]
 fn a_hot_key_is_spread_within_the_bound() {
     let mut pool = pool(6, 48);
@@ -102,9 +109,10 @@
     assert!(f64::from(*most) <= 2.0 * 10.0 + 3.0, "{loads:?}");
 }
 
-/// Guards against one own request that counts for as many as there are routers.
+/// Guards against a load estimate that counts one request of this router at a replica without a
+/// report as one request from every router.
 #[test]
-fn one_own_request_at_a_replica_without_a_report_speaks_for_a_few_of_others() {
+fn one_request_at_a_replica_without_a_report_does_not_count_as_one_from_every_router() {
     let mut pool = pool(6, 48);
     let prompt = prompt(10);
     let settings = PlacementSettings { routers: 8, ..SETTINGS };
@@ -122,8 +130,10 @@
     assert!(next.load > 1.0 + 3.0 && next.load < 1.0 + 2.0 * 3.0, "{next:?}");
 }
 
+/// Guards against requests without a prompt that leave the zone although its replicas have no more
+/// load than others, or stay in it although they have.
 #[test]
-fn plain_requests_go_to_the_least_loaded_replica_of_the_zone() {
+fn requests_without_a_prompt_go_to_the_least_loaded_replica_and_prefer_the_zone() {
     let mut pool = pool(4, 6);
     let mut random = random();
     let first = place(&pool, NOW, &request(None), &SETTINGS, &mut random).unwrap();
@@ -138,30 +148,37 @@
     assert_eq!(&*next.upstream.zone, "b");
 }
 
-fn full_pool(prompts: bool) -> Pool {
+/// Returns a service whose slots are all taken. The queues of its replicas have different lengths,
+/// or four requests each.
+fn full_pool(has_uneven_queues: bool) -> Pool {
     let mut pool = pool(4, 4);
     pool.set_target(Some(Duration::from_millis(300)));
     for number in 0..4 {
         let upstream = incarnation(&pool, &format!("i-{number}"));
         pool.begin(NOW, &upstream);
         pool.end(NOW, &upstream, Some(Symptom::Answered), Duration::from_millis(900));
-        let waiting = if prompts { number } else { 4 };
+        let waiting = if has_uneven_queues { number } else { 4 };
         pool.report(NOW, &upstream, LoadReport { running: 4, waiting });
     }
     pool
 }
 
-/// Guards against requests that wait beyond what their callers aim at, where every replica is full.
+/// Guards against requests that queue for longer than their target latency allows when every
+/// replica is full.
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
+fn requests_that_cannot_be_answered_in_time_are_refused_at_once() {
     let pool = full_pool(false);
     let refusal = place(&pool, NOW, &request(None), &SETTINGS, &mut random()).unwrap_err();
     assert_eq!((refusal.reason, refusal.http_status()), (RefusalReason::Overloaded, 503));
-    let begun = PlacementRequest { has_started: true, ..request(None) };
-    assert!(place(&pool, NOW, &begun, &SETTINGS, &mut random()).is_ok(), "it has begun");
+    let started = PlacementRequest { has_started: true, ..request(None) };
+    assert!(
+        place(&pool, NOW, &started, &SETTINGS, &mut random()).is_ok(),
+        "a request that has started is not refused"
+    );
 }
 
-/// Guards against prompts that go to a service without reports beyond its limit.
+/// Guards against requests with a prompt that exceed the concurrency limit of a service whose
+/// replicas do not report their load. Answers later than the target latency lower that limit.
 #[test]
 fn a_saturated_service_without_reports_gets_no_prompt() {
     let mut pool = pool(4, 6);
@@ -179,7 +196,8 @@
     assert!(place(&PlacementRequest { has_started: true, ..request }).is_ok());
 }
 
-/// Guards against a refusal while places are free: a hot key has filled the first of its order.
+/// Guards against refusals while slots are free: a hot key has filled the first replicas in its
+/// order, and the others have room.
 #[test]
 fn a_hot_key_spills_over_full_replicas_while_others_have_room() {
     for key in 10..60 {
@@ -201,8 +219,8 @@
     }
 }
 
-/// Guards against routers that, hearing the same of a hot key's replicas, all send it to the same next
-/// one.
+/// Guards against many routers that send a hot key to the same next replica, because they know the
+/// same load reports.
 #[test]
 fn routers_that_know_the_same_spread_a_hot_key() {
     let mut pool = pool(32, 16);
@@ -224,16 +242,16 @@
     assert!(placed.len() == 28 && placed.values().all(|count| *count < 60), "{placed:?}");
 }
 
-/// Guards against a full service whose replicas each read every prompt anew: the least loaded of
-/// all is rarely one that holds the prompt.
+/// Guards against every replica of a full service processing every prompt: the least loaded replica
+/// rarely has the prompt cached, so the request must queue at one of the first in the key's order.
 #[test]
-fn where_all_are_full_a_prompt_goes_to_the_first_few_of_its_order() {
+fn prompts_go_to_the_first_replicas_in_their_order_when_all_are_full() {
     let mut pool = full_pool(true);
     pool.set_target(Some(Duration::from_secs(3_600)));
-    let waits = PlacementRequest { remaining: Duration::from_secs(3_600), ..request(None) };
+    let patient = PlacementRequest { remaining: Duration::from_secs(3_600), ..request(None) };
     for key in 10..60 {
         let prompt = prompt(key);
-        let request = PlacementRequest { prompt: Some(&prompt), ..waits };
+        let request = PlacementRequest { prompt: Some(&prompt), ..patient };
         let placed = place(&pool, NOW, &request, &SETTINGS, &mut random()).unwrap();
         let mut order: Vec<&str> =
             pool.members().iter().map(|member| &*member.upstream.id).collect();
@@ -242,16 +260,17 @@
     }
 }
 
+/// Guards against a refusal without a retry-after time when the service has no replica.
 #[test]
-fn a_service_without_replicas_is_refused_with_a_time_to_return() {
+fn requests_to_a_service_without_replicas_are_refused_with_a_retry_after_time() {
     let refusal = place(&pool(0, 1), NOW, &request(None), &SETTINGS, &mut random()).unwrap_err();
     assert_eq!(refusal.http_status(), 503);
     assert!(refusal.retry_after.is_some());
 }
 
-/// Guards against a request that returns to a replica that turned it away.
+/// Guards against a request that is sent again to a replica that rejected it.
 #[test]
-fn replicas_that_were_tried_are_left_out() {
+fn replicas_that_were_tried_are_not_chosen_again() {
     let pool = pool(3, 6);
     let tried = ["i-0".into(), "i-2".into()];
     let request = PlacementRequest { tried: &tried, ..request(None) };
@@ -259,9 +278,11 @@
     assert_eq!(&*placed.upstream.id, "i-1");
 }
 
-/// Guards against prompts that are read anew, though another replica holds them.
+/// Guards against a prompt that is processed again although another replica has it cached: the
+/// placement must name that replica as the holder, also while it drains, but not once it is
+/// removed.
 #[test]
-fn a_replica_is_told_who_held_the_prompt_before() {
+fn placements_name_another_replica_that_holds_the_prompt() {
     for key in 10..200 {
         let mut pool = pool(6, 48);
         let place = |pool: &Pool| place_key(pool, key);
@@ -273,23 +294,29 @@
             pool.begin(NOW, &home.upstream.incarnation());
         }
         let spilled = place(&pool);
-        assert_eq!(spilled.upstream.address, second, "the second of the order takes over");
+        assert_eq!(spilled.upstream.address, second, "the second replica in the order takes over");
         assert_eq!(spilled.holder, Some(home.upstream.address));
 
         pool.set_draining(&home.upstream.id);
-        assert_eq!(place(&pool).holder, Some(home.upstream.address), "it holds it until it leaves");
+        assert_eq!(
+            place(&pool).holder,
+            Some(home.upstream.address),
+            "a draining replica holds the prompt until it is removed"
+        );
         pool.remove(&home.upstream.id);
         assert_ne!(place(&pool).holder, Some(home.upstream.address));
     }
 }
 
+/// Returns the entry of a replica after a restart, which differs in the start time.
 fn restarted(pool: &Pool, id: &str) -> Upstream {
     let before = pool.members().iter().find(|member| *member.upstream.id == *id).unwrap();
     let started = Some(SystemTime::UNIX_EPOCH + Duration::from_secs(5));
     Upstream { started, ..(*before.upstream).clone() }
 }
 
-/// Guards against load, times and failures of a replica's earlier start that count for a later one.
+/// Guards against load, response times and failures from before a restart of a replica that count
+/// after it. Reports and ends of earlier requests may arrive after the restart.
 #[test]
 fn a_replica_that_started_again_is_judged_anew() {
     let mut pool = pool(4, 48);
@@ -315,15 +342,15 @@
     assert_eq!((member.mean_time, member.health.failed_share()), (None, 0.0));
 }
 
-/// Places a request with a key.
+/// Places a request with a prompt that has the affinity key `key`.
 fn place_key(pool: &Pool, key: u64) -> Placement {
     let prompt = prompt(key);
     place(pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap()
 }
 
-/// Guards against copies of prompts from a replica that lost them as it started again.
+/// Guards against copying prompts from a replica whose cache was lost in a restart.
 #[test]
-fn a_replica_that_started_again_holds_no_prompt_until_it_has_answered() {
+fn a_restarted_replica_is_not_a_holder_until_it_has_answered() {
     for key in 10..60 {
         let mut pool = pool(6, 48);
         let place = |pool: &Pool| place_key(pool, key);
@@ -343,9 +370,10 @@
     }
 }
 
-/// Guards against new requests at a replica whose entry somebody else has overwritten.
+/// Guards against requests to a replica, and prompt copies from it, while its entry in the store is
+/// overwritten and cannot be read.
 #[test]
-fn a_suspended_replica_gets_no_request_and_lends_no_prompt() {
+fn a_suspended_replica_gets_no_request_and_is_not_a_holder() {
     for key in 10..60 {
         let mut pool = pool(6, 48);
         let place = |pool: &Pool| place_key(pool, key);
