--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -98,19 +98,19 @@
             ranked: TopScored::new(),
             holders: TopScored::new(),
         };
-        let eligible_count = scan.collect(routers);
+        let eligible_count = scan.scan_pool(routers);
         if scan.candidate_count * 2 < eligible_count {
             scan.has_only_usable = false;
             scan.ranked = TopScored::new();
             scan.holders = TopScored::new();
-            scan.collect(routers);
+            scan.scan_pool(routers);
         }
         (scan.candidate_count > 0).then_some(scan)
     }
 
-    /// Collects totals and ranks over all candidates. Returns the number of replicas that would be
-    /// candidates if none were ejected.
-    fn collect(&mut self, routers: u32) -> usize {
+    /// Collects the totals and the ranking of the candidates. Returns the number of replicas that
+    /// would be candidates if none were ejected.
+    fn scan_pool(&mut self, routers: u32) -> usize {
         let (mut own, mut reported, mut trust_sum) = (0_u32, 0.0, 0.0);
         let (mut eligible_count, mut candidate_count, mut slots) = (0, 0, 0_u32);
         for member in self.pool.members() {
