--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -48,7 +48,7 @@
             zone: &self.shared.zone,
             tried: &self.tried,
             remaining: deadline.remaining(now),
-            latest_return: deadline.latest_return(now),
+            max_retry_after: deadline.latest_return(now),
             is_late: self.prepared.is_late,
             has_started: resumed_after.is_some() || self.runs > 0,
         };
--- a/teaselworks_policy/benches/placement.rs
+++ b/teaselworks_policy/benches/placement.rs
@@ -30,7 +30,7 @@
             zone: "a",
             tried: &[],
             remaining: Duration::from_secs(10),
-            latest_return: Duration::from_secs(3),
+            max_retry_after: Duration::from_secs(3),
             has_started: false,
             is_late: false,
         };
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -196,7 +196,7 @@
             }
             Err(refusal) if refusal.reason.is_overload() => {
                 let retry_after =
-                    pool.returns.next_retry_after(now, request.latest_return, &mut self.random);
+                    pool.returns.next_retry_after(now, request.max_retry_after, &mut self.random);
                 Err(Refusal { retry_after: Some(retry_after), ..refusal })
             }
             Err(refusal) => Err(refusal),
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -58,7 +58,7 @@
     /// Time left until the deadline of the request.
     pub remaining: Duration,
     /// Maximum retry-after time with which the caller can still be answered in time.
-    pub latest_return: Duration,
+    pub max_retry_after: Duration,
     /// Whether the answer has begun or an earlier attempt may have run. Such a request is placed
     /// even where new requests are refused for overload.
     pub has_started: bool,
@@ -122,7 +122,7 @@
 ///     zone: "a",
 ///     tried: &[],
 ///     remaining: Duration::from_secs(1),
-///     latest_return: Duration::from_secs(1),
+///     max_retry_after: Duration::from_secs(1),
 ///     has_started: false,
 ///     is_late: false,
 /// };
@@ -139,7 +139,7 @@
 ) -> Result<Placement, Refusal> {
     let key = request.prompt.and_then(Prompt::affinity_key);
     let Some(scan) = Scan::new(pool, now, request, key, settings.routers) else {
-        let retry_after = NO_REPLICA_RETRY_AFTER.min(request.latest_return);
+        let retry_after = NO_REPLICA_RETRY_AFTER.min(request.max_retry_after);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
     if let Some(reason) = admission::service_refusal(pool, now, scan.is_crowded(), request) {
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -62,7 +62,7 @@
         zone: "a",
         tried: &[],
         remaining: SECOND,
-        latest_return: SECOND,
+        max_retry_after: SECOND,
         has_started: false,
         is_late: false,
     };
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -49,7 +49,7 @@
         zone: "a",
         tried: &[],
         remaining,
-        latest_return: second,
+        max_retry_after: second,
         has_started: false,
         is_late: false,
     }
--- a/teaselworks_policy/tests/retry_after.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -61,7 +61,7 @@
         zone: "a",
         tried: &[],
         remaining: 2 * SECOND,
-        latest_return: SECOND,
+        max_retry_after: SECOND,
         has_started: false,
         is_late: false,
     };
