--- a/teaselworks_policy/src/placement/rendezvous.rs
+++ b/teaselworks_policy/src/placement/rendezvous.rs
@@ -16,7 +16,7 @@
 /// Returns the score of an upstream for a key. The upstream with the highest score is the first in
 /// the key's order.
 ///
-/// When an upstream is added or removed, only the keys whose first upstream it becomes or was move.
+/// Adding or removing an upstream moves only the keys for which it becomes, or was, the first.
 ///
 /// ```
 /// use teaselworks_policy::placement::{hash_upstream_id, rendezvous_score};
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -59,16 +59,16 @@
     /// Requests at the candidates: all of this router's, and those of other routers as reported,
     /// each weighted by the trust in the report.
     known_requests: f64,
-    /// Number of candidates without a load report. A report that is trusted in part counts as a
-    /// fraction.
+    /// Number of candidates without a recent load report. A report that is trusted in part counts as
+    /// a fraction.
     unreported_count: f64,
     /// Total slots of the candidates.
     slots: u32,
     usual: Usual,
     /// First candidates in the key's order; empty without a key.
     ranked: TopScored<'a, RANKED_REPLICAS>,
-    /// First replicas in the key's order from which the cached prompt can be copied. Replicas that
-    /// drain or were tried are included; those that have answered nothing since a restart are not.
+    /// First replicas in the key's order from which the cached prompt can be copied. They may be
+    /// draining or already tried, but not ejected, suspended, or without an answer since a restart.
     holders: TopScored<'a, 2>,
 }
 
