--- a/teaselworks_policy/src/placement/mod.rs
+++ b/teaselworks_policy/src/placement/mod.rs
@@ -1,13 +1,13 @@
-//! Which upstream a request is sent to.
+//! Chooses the upstream that a request is sent to, or refuses the request.
 
 mod admission;
 mod choice;
 mod prompt;
 mod rendezvous;
-mod returns;
+mod retry_after;
 mod scan;
 
-pub use self::choice::{Demand, Placement, PlacementSettings, Reason, place};
-pub use self::prompt::{Part, Prompt};
-pub use self::rendezvous::{identity, score};
-pub use self::returns::Returns;
+pub use self::choice::{Placement, PlacementReason, PlacementRequest, PlacementSettings, place};
+pub use self::prompt::{Prompt, PromptPart};
+pub use self::rendezvous::{hash_upstream_id, rendezvous_score};
+pub use self::retry_after::RetryAfterSchedule;
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
 
-use crate::placement::{Returns, identity, score};
+use crate::placement::{RetryAfterSchedule, hash_upstream_id, rendezvous_score};
 
 use super::{
     ConcurrencyLimit, EjectionChange, Health, Incarnation, Load, LoadReport, ObservationIndex,
@@ -49,7 +49,7 @@
 impl Member {
     fn new(upstream: Upstream, has_empty_cache: bool) -> Self {
         Self {
-            identity: identity(&upstream.id),
+            identity: hash_upstream_id(&upstream.id),
             is_draining: upstream.is_draining,
             upstream: Arc::new(upstream),
             load: Load::default(),
@@ -67,7 +67,7 @@
     fn incarnation_hash(&self) -> u64 {
         let started = self.upstream.started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
         let started_ms = started.map_or(0, |since| since.as_millis() as u64);
-        score(started_ms, self.identity)
+        rendezvous_score(started_ms, self.identity)
     }
 }
 
@@ -81,7 +81,7 @@
     has_load_reports: bool,
     concurrency_limit: ConcurrencyLimit,
     /// Schedule by which callers that were refused come back.
-    pub returns: Returns,
+    pub returns: RetryAfterSchedule,
 }
 
 impl Pool {
