--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -86,7 +86,7 @@
     /// Lets go of the request once its answer has begun, unless another upstream may go on with it.
     pub(super) fn release_request(&mut self) {
         let route = &self.prepared.route;
-        if route.may_repeat() && self.runs + 1 < route.max_attempts {
+        if route.is_idempotent() && self.runs + 1 < route.max_attempts {
             return;
         }
         self.body.release();
@@ -108,7 +108,7 @@
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
         let offers = if self.body.is_held() { self.attempts() } else { u32::MAX };
         let attempts = Attempts {
-            may_repeat: self.prepared.route.may_repeat(),
+            is_idempotent: self.prepared.route.is_idempotent(),
             offers,
             runs: self.runs,
             max_runs: self.prepared.route.max_attempts,
@@ -155,7 +155,7 @@
         let now = self.shared.now();
         let remaining = self.prepared.deadline.remaining(now);
         let has_run_left = self.runs + 1 < route.max_attempts;
-        route.may_repeat()
+        route.is_idempotent()
             && self.body.is_held()
             && has_run_left
             && remaining > route.target_latency
--- a/teaselworks_policy/src/configuration/route.rs
+++ b/teaselworks_policy/src/configuration/route.rs
@@ -67,9 +67,9 @@
     /// use teaselworks_policy::configuration::{Kind, Route};
     ///
     /// let route = Route::example(Kind::AtMostOnce, "/a/");
-    /// assert!(!route.may_repeat());
+    /// assert!(!route.is_idempotent());
     /// ```
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
             Kind::AtMostOnce => false,
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Attempts {
     /// The request may run more than once.
-    pub may_repeat: bool,
+    pub is_idempotent: bool,
     /// Upstreams that it was sent to so far.
     pub offers: u32,
     /// Upstreams on which it may have run so far.
@@ -156,7 +156,7 @@
 /// use teaselworks_policy::retry::{Attempts, Failure, Next, decide};
 ///
 /// let remaining = Duration::from_secs(1);
-/// let attempts = Attempts { may_repeat: false, offers: 1, runs: 1, max_runs: 1, remaining };
+/// let attempts = Attempts { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
 /// assert!(matches!(decide(Failure::Broken, &attempts), Next::GiveUp(_)));
 /// ```
 pub fn decide(failure: Failure, attempts: &Attempts) -> Next {
@@ -164,7 +164,7 @@
     let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time = attempts.remaining >= LEAST_TIME;
     let has_attempts = attempts.offers < OFFERS && attempts.runs < attempts.max_runs;
-    if has_time && has_attempts && verdict.retry_is_safe(attempts.may_repeat) {
+    if has_time && has_attempts && verdict.retry_is_safe(attempts.is_idempotent) {
         return Next::Retry { reason: RetryReason::Failed(failure), is_repeat: failure.was_sent() };
     }
     let reason = match failure {
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -18,9 +18,9 @@
     Failure::Silent,
 ];
 
-fn attempts(may_repeat: bool, runs: u32) -> Attempts {
+fn attempts(is_idempotent: bool, runs: u32) -> Attempts {
     let remaining = Duration::from_secs(2);
-    Attempts { may_repeat, offers: 1, runs, max_runs: 2, remaining }
+    Attempts { is_idempotent, offers: 1, runs, max_runs: 2, remaining }
 }
 
 /// Guards against a second run of a request whose answer was lost.
