--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -117,9 +117,9 @@
         let latest = self.prepared.deadline.latest_return(now);
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
-        let (reason, is_repeat) = match decide(failure, &attempts) {
-            Next::Retry { is_repeat, .. } if is_begun => (RetryReason::Resumed, is_repeat),
-            Next::Retry { reason, is_repeat } => (reason, is_repeat),
+        let (reason, is_budgeted) = match decide(failure, &attempts) {
+            Next::Retry { is_budgeted, .. } if is_begun => (RetryReason::Resumed, is_budgeted),
+            Next::Retry { reason, is_budgeted } => (reason, is_budgeted),
             Next::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
                     refusal.retry_after = Some(fleet.return_after(now, service, latest));
@@ -130,7 +130,7 @@
             }
         };
         let is_paid = failure == Failure::Silent;
-        if is_repeat && !is_paid && !fleet.try_repeat(now, service) {
+        if is_budgeted && !is_paid && !fleet.try_repeat(now, service) {
             let retry_after = fleet.return_after(now, service, latest);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -138,12 +138,12 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
     /// Send the request to another upstream, for this reason, if the budget allows it where
-    /// `is_repeat` says so.
+    /// `is_budgeted` says so.
     Retry {
         /// Why.
         reason: RetryReason,
         /// The attempt counts as a repeat.
-        is_repeat: bool,
+        is_budgeted: bool,
     },
     /// Answer the caller.
     GiveUp(Refusal),
@@ -165,7 +165,10 @@
     let has_time = attempts.remaining >= LEAST_TIME;
     let has_attempts = attempts.offers < OFFERS && attempts.runs < attempts.max_runs;
     if has_time && has_attempts && verdict.retry_is_safe(attempts.is_idempotent) {
-        return Next::Retry { reason: RetryReason::Failed(failure), is_repeat: failure.was_sent() };
+        return Next::Retry {
+            reason: RetryReason::Failed(failure),
+            is_budgeted: failure.was_sent(),
+        };
     }
     let reason = match failure {
         _ if !has_time => RefusalReason::Deadline,
