--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -130,7 +130,7 @@
             }
         };
         let is_paid = failure == Failure::Silent;
-        if is_budgeted && !is_paid && !fleet.try_repeat(now, service) {
+        if is_budgeted && !is_paid && !fleet.try_take_retry(now, service) {
             let retry_after = fleet.return_after(now, service, latest);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
@@ -159,7 +159,7 @@
             && self.body.is_held()
             && has_run_left
             && remaining > route.target_latency
-            && self.shared.fleet().try_repeat(now, &self.prepared.service)
+            && self.shared.fleet().try_take_retry(now, &self.prepared.service)
     }
 
     /// Logs a failed attempt that no other follows.
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -170,7 +170,7 @@
     }
 
     /// Takes one repeat from the retry budget; false where it is spent.
-    pub fn try_repeat(&mut self, now: Duration, service: &Arc<str>) -> bool {
+    pub fn try_take_retry(&mut self, now: Duration, service: &Arc<str>) -> bool {
         self.budget.try_take(now, service, self.membership.live())
     }
 
