--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -132,7 +132,7 @@
                 was_sent: false,
             };
             let answer = {
-                let silence = self.prepared.route.longest_silence();
+                let silence = self.prepared.route.silence_timeout();
                 let mut running = std::pin::pin!(attempt.run(body, size_bytes));
                 match tokio::time::timeout(silence, running.as_mut()).await {
                     Ok(answer) => answer,
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -70,7 +70,7 @@
         source: Some(source),
         splitter,
         deadline: Box::pin(tokio::time::sleep(remaining)),
-        silence: Box::pin(tokio::time::sleep(serving.prepared.route.longest_silence())),
+        silence: Box::pin(tokio::time::sleep(serving.prepared.route.silence_timeout())),
         last_at: serving.shared.now(),
         serving,
         progress,
@@ -166,7 +166,7 @@
 
     /// Goes on elsewhere where the answer has been silent for too long and may be resumed.
     async fn on_silence(&mut self) -> Result<(), BodyError> {
-        let longest = self.serving.prepared.route.longest_silence();
+        let longest = self.serving.prepared.route.silence_timeout();
         let now = self.serving.shared.now();
         let silent = now.saturating_sub(self.last_at);
         if silent < longest {
--- a/teaselworks_policy/src/configuration/route.rs
+++ b/teaselworks_policy/src/configuration/route.rs
@@ -86,9 +86,9 @@
     /// use teaselworks_policy::configuration::{Kind, Route};
     ///
     /// let route = Route::example(Kind::Stream, "/a/");
-    /// assert_eq!(route.longest_silence(), Duration::from_millis(1_200));
+    /// assert_eq!(route.silence_timeout(), Duration::from_millis(1_200));
     /// ```
-    pub fn longest_silence(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         self.target_latency.max(self.target_gap) * SILENCE_FACTOR
     }
 
