--- a/teaselworks/src/platform/configuration.rs
+++ b/teaselworks/src/platform/configuration.rs
@@ -158,7 +158,7 @@
 
 impl From<WireService> for Service {
     fn from(wire: WireService) -> Self {
-        Self { copies_prompts: wire.engine.is_some_and(|engine| engine.moves) }
+        Self { has_kv_transfer: wire.engine.is_some_and(|engine| engine.moves) }
     }
 }
 
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -80,7 +80,7 @@
     /// Tells whether the engines of the service can copy prompts from each other.
     fn copies_prompts(&self) -> bool {
         let service = self.configuration.services.get(&self.prepared.service);
-        service.is_some_and(|service| service.copies_prompts)
+        service.is_some_and(|service| service.has_kv_transfer)
     }
 
     /// Lets go of the request once its answer has begun, unless another upstream may go on with it.
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -50,8 +50,8 @@
         (0..1_000).filter(|id| &*route.service_for(&format!("{id}")).unwrap() == "b").count();
     assert!((50..200).contains(&to_b), "{to_b}");
     assert_eq!(configuration.workspaces.find("k2").unwrap().priority, Some(1));
-    assert!(configuration.services["a"].copies_prompts);
-    assert!(!configuration.services["b"].copies_prompts);
+    assert!(configuration.services["a"].has_kv_transfer);
+    assert!(!configuration.services["b"].has_kv_transfer);
 }
 
 /// Guards against a second run on a route of a kind that this router does not know.
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -52,7 +52,7 @@
     let routes = (0..load.kinds.len()).map(|kind| route(load, kind));
     let mut configuration =
         Configuration { version: 1, routes: Routes::new(routes), ..Configuration::default() };
-    configuration.services.insert(SERVICE.into(), Service { copies_prompts: true });
+    configuration.services.insert(SERVICE.into(), Service { has_kv_transfer: true });
     configuration
 }
 
--- a/teaselworks_policy/src/configuration/mod.rs
+++ b/teaselworks_policy/src/configuration/mod.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Service {
     /// Its replicas are engines that can copy parts of prompts from each other.
-    pub copies_prompts: bool,
+    pub has_kv_transfer: bool,
 }
 
 /// Bounds on what callers may send, and how slowly.
