--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -122,7 +122,7 @@
             Next::Retry { reason, is_budgeted } => (reason, is_budgeted),
             Next::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
-                    refusal.retry_after = Some(fleet.return_after(now, service, latest));
+                    refusal.retry_after = Some(fleet.schedule_retry_after(now, service, latest));
                 }
                 drop(fleet);
                 self.log_failure(failure, &refusal);
@@ -131,7 +131,7 @@
         };
         let is_paid = failure == Failure::Silent;
         if is_budgeted && !is_paid && !fleet.try_take_retry(now, service) {
-            let retry_after = fleet.return_after(now, service, latest);
+            let retry_after = fleet.schedule_retry_after(now, service, latest);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
             self.log_failure(failure, &refusal);
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -232,7 +232,7 @@
         }
         self.end(call, Some(Symptom::Failed));
         let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
-        let retry_after = self.routers[router].return_after(self.now, SERVICE, latest);
+        let retry_after = self.routers[router].schedule_retry_after(self.now, SERVICE, latest);
         self.refuse(call, retry_after);
     }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -251,7 +251,12 @@
     }
 
     /// Returns when a caller whose request replicas turned away should come back.
-    pub fn return_after(&mut self, now: Duration, service: &str, latest: Duration) -> Duration {
+    pub fn schedule_retry_after(
+        &mut self,
+        now: Duration,
+        service: &str,
+        latest: Duration,
+    ) -> Duration {
         match self.pools.get_mut(service) {
             Some(pool) => pool.returns.schedule(now, latest, &mut self.random),
             None => UNKNOWN_RETURN.min(latest),
