--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Demand, Placement};
-use teaselworks_policy::retry::{Attempts, Failure, Next, RetryReason, decide};
+use teaselworks_policy::retry::{AttemptHistory, Failure, Next, RetryReason, decide};
 use teaselworks_policy::upstream::Symptom;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
@@ -107,7 +107,7 @@
         let now = self.shared.now();
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
         let offers = if self.body.is_held() { self.attempts() } else { u32::MAX };
-        let attempts = Attempts {
+        let attempts = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
             offers,
             runs: self.runs,
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -121,7 +121,7 @@
 
 /// What is known about a request when an attempt of it has failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Attempts {
+pub struct AttemptHistory {
     /// The request may run more than once.
     pub is_idempotent: bool,
     /// Upstreams that it was sent to so far.
@@ -153,13 +153,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use teaselworks_policy::retry::{Attempts, Failure, Next, decide};
+/// use teaselworks_policy::retry::{AttemptHistory, Failure, Next, decide};
 ///
 /// let remaining = Duration::from_secs(1);
-/// let attempts = Attempts { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
+/// let attempts = AttemptHistory { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
 /// assert!(matches!(decide(Failure::Broken, &attempts), Next::GiveUp(_)));
 /// ```
-pub fn decide(failure: Failure, attempts: &Attempts) -> Next {
+pub fn decide(failure: Failure, attempts: &AttemptHistory) -> Next {
     let ran_before = attempts.runs > 0;
     let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time = attempts.remaining >= LEAST_TIME;
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use teaselworks_policy::retry::{Attempts, BudgetSettings, Failure, Next, RetryBudget, decide};
+use teaselworks_policy::retry::{
+    AttemptHistory, BudgetSettings, Failure, Next, RetryBudget, decide,
+};
 use teaselworks_policy::verdict::Verdict;
 
 const FAILURES: [Failure; 8] = [
@@ -18,9 +20,9 @@
     Failure::Silent,
 ];
 
-fn attempts(is_idempotent: bool, runs: u32) -> Attempts {
+fn attempts(is_idempotent: bool, runs: u32) -> AttemptHistory {
     let remaining = Duration::from_secs(2);
-    Attempts { is_idempotent, offers: 1, runs, max_runs: 2, remaining }
+    AttemptHistory { is_idempotent, offers: 1, runs, max_runs: 2, remaining }
 }
 
 /// Guards against a second run of a request whose answer was lost.
@@ -38,7 +40,7 @@
 /// Guards against a refusal that tells of the last attempt alone.
 #[test]
 fn a_promise_covers_every_attempt() {
-    let given_up = Attempts { offers: 4, ..attempts(true, 1) };
+    let given_up = AttemptHistory { offers: 4, ..attempts(true, 1) };
     for failure in FAILURES {
         let Next::GiveUp(refusal) = decide(failure, &given_up) else {
             panic!("{failure:?}: four offers are enough");
@@ -49,7 +51,7 @@
 
 #[test]
 fn a_request_whose_time_has_passed_is_given_up() {
-    let late = Attempts { remaining: Duration::ZERO, ..attempts(true, 0) };
+    let late = AttemptHistory { remaining: Duration::ZERO, ..attempts(true, 0) };
     let Next::GiveUp(refusal) = decide(Failure::Rejected, &late) else {
         panic!("no time is left");
     };
