--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Demand, Placement};
-use teaselworks_policy::retry::{AttemptHistory, Failure, Next, RetryReason, decide};
+use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, RetryReason, decide};
 use teaselworks_policy::upstream::Symptom;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
@@ -118,9 +118,11 @@
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
         let (reason, is_budgeted) = match decide(failure, &attempts) {
-            Next::Retry { is_budgeted, .. } if is_begun => (RetryReason::Resumed, is_budgeted),
-            Next::Retry { reason, is_budgeted } => (reason, is_budgeted),
-            Next::GiveUp(mut refusal) => {
+            RetryDecision::Retry { is_budgeted, .. } if is_begun => {
+                (RetryReason::Resumed, is_budgeted)
+            }
+            RetryDecision::Retry { reason, is_budgeted } => (reason, is_budgeted),
+            RetryDecision::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
                     refusal.retry_after = Some(fleet.schedule_retry_after(now, service, latest));
                 }
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -136,7 +136,7 @@
 
 /// What follows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Send the request to another upstream, for this reason, if the budget allows it where
     /// `is_budgeted` says so.
     Retry {
@@ -153,19 +153,19 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use teaselworks_policy::retry::{AttemptHistory, Failure, Next, decide};
+/// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide};
 ///
 /// let remaining = Duration::from_secs(1);
 /// let attempts = AttemptHistory { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
-/// assert!(matches!(decide(Failure::Broken, &attempts), Next::GiveUp(_)));
+/// assert!(matches!(decide(Failure::Broken, &attempts), RetryDecision::GiveUp(_)));
 /// ```
-pub fn decide(failure: Failure, attempts: &AttemptHistory) -> Next {
+pub fn decide(failure: Failure, attempts: &AttemptHistory) -> RetryDecision {
     let ran_before = attempts.runs > 0;
     let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time = attempts.remaining >= LEAST_TIME;
     let has_attempts = attempts.offers < OFFERS && attempts.runs < attempts.max_runs;
     if has_time && has_attempts && verdict.retry_is_safe(attempts.is_idempotent) {
-        return Next::Retry {
+        return RetryDecision::Retry {
             reason: RetryReason::Failed(failure),
             is_budgeted: failure.was_sent(),
         };
@@ -179,7 +179,7 @@
         }
     };
     match verdict {
-        Verdict::MayHaveRun => Next::GiveUp(Refusal::may_have_run(reason)),
-        Verdict::NotRun => Next::GiveUp(Refusal::not_run(reason, None)),
+        Verdict::MayHaveRun => RetryDecision::GiveUp(Refusal::may_have_run(reason)),
+        Verdict::NotRun => RetryDecision::GiveUp(Refusal::not_run(reason, None)),
     }
 }
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use teaselworks_policy::retry::{
-    AttemptHistory, BudgetSettings, Failure, Next, RetryBudget, decide,
+    AttemptHistory, BudgetSettings, Failure, RetryBudget, RetryDecision, decide,
 };
 use teaselworks_policy::verdict::Verdict;
 
@@ -31,9 +31,9 @@
     for failure in FAILURES {
         let has_run = failure.verdict() == Verdict::MayHaveRun;
         let next = decide(failure, &attempts(false, u32::from(has_run)));
-        assert_eq!(matches!(next, Next::GiveUp(_)), has_run, "{failure:?}");
+        assert_eq!(matches!(next, RetryDecision::GiveUp(_)), has_run, "{failure:?}");
         let next = decide(failure, &attempts(true, u32::from(has_run)));
-        assert!(matches!(next, Next::Retry { .. }), "{failure:?}");
+        assert!(matches!(next, RetryDecision::Retry { .. }), "{failure:?}");
     }
 }
 
@@ -42,7 +42,7 @@
 fn a_promise_covers_every_attempt() {
     let given_up = AttemptHistory { offers: 4, ..attempts(true, 1) };
     for failure in FAILURES {
-        let Next::GiveUp(refusal) = decide(failure, &given_up) else {
+        let RetryDecision::GiveUp(refusal) = decide(failure, &given_up) else {
             panic!("{failure:?}: four offers are enough");
         };
         assert!([502, 504].contains(&refusal.http_status()), "{failure:?}");
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_whose_time_has_passed_is_given_up() {
     let late = AttemptHistory { remaining: Duration::ZERO, ..attempts(true, 0) };
-    let Next::GiveUp(refusal) = decide(Failure::Rejected, &late) else {
+    let RetryDecision::GiveUp(refusal) = decide(Failure::Rejected, &late) else {
         panic!("no time is left");
     };
     assert_eq!(refusal.http_status(), 503);
