--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -5,7 +5,9 @@
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Demand, Placement};
-use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, RetryReason, decide};
+use teaselworks_policy::retry::{
+    AttemptHistory, Failure, RetryDecision, RetryReason, decide_retry,
+};
 use teaselworks_policy::upstream::Symptom;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
@@ -117,7 +119,7 @@
         let latest = self.prepared.deadline.latest_return(now);
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
-        let (reason, is_budgeted) = match decide(failure, &attempts) {
+        let (reason, is_budgeted) = match decide_retry(failure, &attempts) {
             RetryDecision::Retry { is_budgeted, .. } if is_begun => {
                 (RetryReason::Resumed, is_budgeted)
             }
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -153,13 +153,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide};
+/// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide_retry};
 ///
 /// let remaining = Duration::from_secs(1);
 /// let attempts = AttemptHistory { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
-/// assert!(matches!(decide(Failure::Broken, &attempts), RetryDecision::GiveUp(_)));
+/// assert!(matches!(decide_retry(Failure::Broken, &attempts), RetryDecision::GiveUp(_)));
 /// ```
-pub fn decide(failure: Failure, attempts: &AttemptHistory) -> RetryDecision {
+pub fn decide_retry(failure: Failure, attempts: &AttemptHistory) -> RetryDecision {
     let ran_before = attempts.runs > 0;
     let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time = attempts.remaining >= LEAST_TIME;
--- a/teaselworks_policy/src/retry/mod.rs
+++ b/teaselworks_policy/src/retry/mod.rs
@@ -4,4 +4,4 @@
 mod decision;
 
 pub use self::budget::{BudgetSettings, RetryBudget};
-pub use self::decision::{AttemptHistory, Failure, RetryDecision, RetryReason, decide};
+pub use self::decision::{AttemptHistory, Failure, RetryDecision, RetryReason, decide_retry};
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use teaselworks_policy::retry::{
-    AttemptHistory, BudgetSettings, Failure, RetryBudget, RetryDecision, decide,
+    AttemptHistory, BudgetSettings, Failure, RetryBudget, RetryDecision, decide_retry,
 };
 use teaselworks_policy::verdict::Verdict;
 
@@ -30,9 +30,9 @@
 fn what_may_have_run_is_not_sent_again_unless_it_may_repeat() {
     for failure in FAILURES {
         let has_run = failure.verdict() == Verdict::MayHaveRun;
-        let next = decide(failure, &attempts(false, u32::from(has_run)));
+        let next = decide_retry(failure, &attempts(false, u32::from(has_run)));
         assert_eq!(matches!(next, RetryDecision::GiveUp(_)), has_run, "{failure:?}");
-        let next = decide(failure, &attempts(true, u32::from(has_run)));
+        let next = decide_retry(failure, &attempts(true, u32::from(has_run)));
         assert!(matches!(next, RetryDecision::Retry { .. }), "{failure:?}");
     }
 }
@@ -42,7 +42,7 @@
 fn a_promise_covers_every_attempt() {
     let given_up = AttemptHistory { offers: 4, ..attempts(true, 1) };
     for failure in FAILURES {
-        let RetryDecision::GiveUp(refusal) = decide(failure, &given_up) else {
+        let RetryDecision::GiveUp(refusal) = decide_retry(failure, &given_up) else {
             panic!("{failure:?}: four offers are enough");
         };
         assert!([502, 504].contains(&refusal.http_status()), "{failure:?}");
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_whose_time_has_passed_is_given_up() {
     let late = AttemptHistory { remaining: Duration::ZERO, ..attempts(true, 0) };
-    let RetryDecision::GiveUp(refusal) = decide(Failure::Rejected, &late) else {
+    let RetryDecision::GiveUp(refusal) = decide_retry(Failure::Rejected, &late) else {
         panic!("no time is left");
     };
     assert_eq!(refusal.http_status(), 503);
