--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -108,10 +108,10 @@
         }
         let now = self.shared.now();
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
-        let offers = if self.body.is_held() { self.attempts() } else { u32::MAX };
+        let tried_count = if self.body.is_held() { self.attempts() } else { u32::MAX };
         let attempts = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
-            offers,
+            tried_count,
             runs: self.runs,
             max_runs: self.prepared.route.max_attempts,
             remaining: self.prepared.deadline.remaining(now),
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -125,7 +125,7 @@
     /// The request may run more than once.
     pub is_idempotent: bool,
     /// Upstreams that it was sent to so far.
-    pub offers: u32,
+    pub tried_count: u32,
     /// Upstreams on which it may have run so far.
     pub runs: u32,
     /// Upstreams on which it may run at most.
@@ -156,14 +156,14 @@
 /// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide_retry};
 ///
 /// let remaining = Duration::from_secs(1);
-/// let attempts = AttemptHistory { is_idempotent: false, offers: 1, runs: 1, max_runs: 1, remaining };
+/// let attempts = AttemptHistory { is_idempotent: false, tried_count: 1, runs: 1, max_runs: 1, remaining };
 /// assert!(matches!(decide_retry(Failure::Broken, &attempts), RetryDecision::GiveUp(_)));
 /// ```
 pub fn decide_retry(failure: Failure, attempts: &AttemptHistory) -> RetryDecision {
     let ran_before = attempts.runs > 0;
     let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time = attempts.remaining >= LEAST_TIME;
-    let has_attempts = attempts.offers < OFFERS && attempts.runs < attempts.max_runs;
+    let has_attempts = attempts.tried_count < OFFERS && attempts.runs < attempts.max_runs;
     if has_time && has_attempts && verdict.retry_is_safe(attempts.is_idempotent) {
         return RetryDecision::Retry {
             reason: RetryReason::Failed(failure),
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -22,7 +22,7 @@
 
 fn attempts(is_idempotent: bool, runs: u32) -> AttemptHistory {
     let remaining = Duration::from_secs(2);
-    AttemptHistory { is_idempotent, offers: 1, runs, max_runs: 2, remaining }
+    AttemptHistory { is_idempotent, tried_count: 1, runs, max_runs: 2, remaining }
 }
 
 /// Guards against a second run of a request whose answer was lost.
@@ -40,7 +40,7 @@
 /// Guards against a refusal that tells of the last attempt alone.
 #[test]
 fn a_promise_covers_every_attempt() {
-    let given_up = AttemptHistory { offers: 4, ..attempts(true, 1) };
+    let given_up = AttemptHistory { tried_count: 4, ..attempts(true, 1) };
     for failure in FAILURES {
         let RetryDecision::GiveUp(refusal) = decide_retry(failure, &given_up) else {
             panic!("{failure:?}: four offers are enough");
