--- a/teaselworks/src/daemon/stop.rs
+++ b/teaselworks/src/daemon/stop.rs
@@ -33,7 +33,7 @@
     loop {
         let elapsed = shared.now().saturating_sub(began);
         match plan.phase(elapsed, in_progress()) {
-            Phase::Taking => {}
+            Phase::Accepting => {}
             Phase::Finishing if shared.shutdown.phase() < ShutdownPhase::Draining => {
                 event::FINISHING.log(&[event::number("in_progress", in_progress() as u64)]);
                 shared.shutdown.advance(ShutdownPhase::Draining);
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
     /// It reports that it is not ready and asks callers to reconnect elsewhere.
-    Taking,
+    Accepting,
     /// It closes idle connections, and ends when nothing is in progress.
     Finishing,
     /// It ends.
@@ -53,7 +53,7 @@
     /// use teaselworks_policy::stop::{Phase, StopPlan};
     ///
     /// let plan = StopPlan::new(Duration::from_secs(8));
-    /// assert_eq!(plan.phase(Duration::from_secs(1), 0), Phase::Taking);
+    /// assert_eq!(plan.phase(Duration::from_secs(1), 0), Phase::Accepting);
     /// assert_eq!(plan.phase(Duration::from_secs(4), 3), Phase::Finishing);
     /// assert_eq!(plan.phase(Duration::from_secs(4), 0), Phase::Ended);
     /// ```
@@ -106,7 +106,7 @@
     /// Returns the phase at a time since the stop began, with so many requests in progress.
     pub fn phase(&self, elapsed: Duration, in_progress: usize) -> Phase {
         if elapsed < self.taking {
-            return Phase::Taking;
+            return Phase::Accepting;
         }
         if elapsed >= self.end || in_progress == 0 {
             return Phase::Ended;
--- a/teaselworks_policy/tests/stop.rs
+++ b/teaselworks_policy/tests/stop.rs
@@ -95,7 +95,7 @@
         let grace = Duration::from_millis(grace_ms);
         let plan = StopPlan::new(grace);
         let order = |phase| match phase {
-            Phase::Taking => 0,
+            Phase::Accepting => 0,
             Phase::Finishing => 1,
             Phase::Ended => 2,
         };
