--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -54,7 +54,7 @@
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
     let workspace = match &facts.key {
-        _ if route.is_anonymous || !configuration.workspaces.is_required() => None,
+        _ if route.is_anonymous || !configuration.workspaces.is_key_required() => None,
         Some(key) => {
             let workspace = configuration.workspaces.find(key);
             Some(workspace.ok_or(RefusalReason::Unauthorized)?.clone())
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -62,7 +62,7 @@
         "routes": [{ "name": "r", "host": "h", "prefix": "/", "kind": "new", "timeout_ms": 1, "service": "a" }]
     }));
     assert!(!configuration.routes.find("h", "/x").unwrap().is_idempotent());
-    assert!(!configuration.workspaces.is_required());
+    assert!(!configuration.workspaces.is_key_required());
 }
 
 fn entry() -> Value {
--- a/teaselworks_policy/src/configuration/workspace.rs
+++ b/teaselworks_policy/src/configuration/workspace.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     by_key: HashMap<Box<str>, Arc<Workspace>>,
-    is_required: bool,
+    is_key_required: bool,
 }
 
 impl Workspaces {
@@ -35,7 +35,7 @@
     pub fn new(workspaces: impl IntoIterator<Item = (Workspace, Vec<Box<str>>)>) -> Self {
         let mut table = Self::default();
         for (workspace, keys) in workspaces {
-            table.is_required = true;
+            table.is_key_required = true;
             let workspace = Arc::new(workspace);
             for key in keys {
                 table.by_key.insert(key, workspace.clone());
@@ -50,7 +50,7 @@
     }
 
     /// Tells whether requests need a key, unless their route is anonymous.
-    pub fn is_required(&self) -> bool {
-        self.is_required
+    pub fn is_key_required(&self) -> bool {
+        self.is_key_required
     }
 }
