--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -39,7 +39,7 @@
     /// Notes that the answer has begun.
     pub(super) fn first_byte(&self) {
         let now = self.shared.now();
-        self.shared.fleet().first_byte(now, &self.service, now.saturating_sub(self.began));
+        self.shared.fleet().on_first_byte(now, &self.service, now.saturating_sub(self.began));
     }
 
     /// Takes what the upstream said of its load.
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -264,7 +264,7 @@
         let Some(sent) = self.sent.get(&call) else { return };
         self.calls[call].first_at = Some(self.now);
         let fleet = &mut self.routers[sent.router];
-        fleet.first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
+        fleet.on_first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
         if let Some(report) = self.engines[sent.engine].report(self.now) {
             fleet.report(self.now, SERVICE, &sent.incarnation, report);
         }
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -264,7 +264,7 @@
     }
 
     /// Takes how long a request waited for the first byte of its answer.
-    pub fn first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
+    pub fn on_first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
         let routers = self.membership.live();
         if let Some(pool) = self.pools.get_mut(service) {
             pool.first_byte(now, waited, routers);
