--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -45,7 +45,7 @@
     /// Takes what the upstream said of its load.
     pub(super) fn report(&self, report: LoadReport) {
         let now = self.shared.now();
-        self.shared.fleet().report(now, &self.service, &self.incarnation, report);
+        self.shared.fleet().on_load_report(now, &self.service, &self.incarnation, report);
     }
 }
 
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -266,7 +266,7 @@
         let fleet = &mut self.routers[sent.router];
         fleet.on_first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
         if let Some(report) = self.engines[sent.engine].report(self.now) {
-            fleet.report(self.now, SERVICE, &sent.incarnation, report);
+            fleet.on_load_report(self.now, SERVICE, &sent.incarnation, report);
         }
     }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -204,7 +204,7 @@
     }
 
     /// Takes what a replica says of its load.
-    pub fn report(
+    pub fn on_load_report(
         &mut self,
         now: Duration,
         service: &str,
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -45,7 +45,7 @@
         fleet(std::slice::from_ref(&upstream)),
     );
     let report = LoadReport { running: 7, waiting: 1 };
-    near.report(SECOND, "service", &upstream.incarnation(), report);
+    near.on_load_report(SECOND, "service", &upstream.incarnation(), report);
     reader.hear(SECOND * 3 / 2, &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true));
     assert!(
         reader.sightings_after(2 * SECOND, Duration::ZERO, true).is_empty(),
@@ -68,7 +68,7 @@
     let mut slow = fleet(std::slice::from_ref(&before));
     let mut current = fleet(&[before.clone(), after]);
     let report = LoadReport { running: 7, waiting: 1 };
-    slow.report(SECOND, "service", &before.incarnation(), report);
+    slow.on_load_report(SECOND, "service", &before.incarnation(), report);
     current.hear(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
     assert_eq!(load_at(&current, SECOND), None);
 }
@@ -102,7 +102,12 @@
     assert_eq!(tell(&second, &mut third, now, SECOND), 1);
     assert!(!is_usable(&third, now));
     let later = now + SECOND / 2;
-    first.report(later, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
+    first.on_load_report(
+        later,
+        "service",
+        &upstream.incarnation(),
+        LoadReport { running: 1, waiting: 0 },
+    );
     assert_eq!(tell(&first, &mut third, later, now), 1);
     assert!(is_usable(&third, later));
 }
@@ -115,7 +120,12 @@
         (fleet(std::slice::from_ref(&upstream)), fleet(std::slice::from_ref(&upstream)));
     let now = 5 * SECOND;
     fail(&mut cut_off, now, 8);
-    near.report(now, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
+    near.on_load_report(
+        now,
+        "service",
+        &upstream.incarnation(),
+        LoadReport { running: 1, waiting: 0 },
+    );
     assert_eq!(tell(&cut_off, &mut near, now, SECOND), 0);
     assert!(is_usable(&near, now));
 }
--- a/teaselworks_policy/tests/returns.rs
+++ b/teaselworks_policy/tests/returns.rs
@@ -67,7 +67,7 @@
     let incarnation = upstream.incarnation();
     fleet.end(2 * SECOND, "service", &incarnation, Some(Symptom::Answered), SECOND);
     let report = LoadReport { running: 8, waiting: 30 };
-    fleet.report(2 * SECOND, "service", &incarnation, report);
+    fleet.on_load_report(2 * SECOND, "service", &incarnation, report);
     let refusal = fleet.place(2 * SECOND, "service", &demand).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::Overloaded);
     let retry_after = refusal.retry_after.unwrap();
