--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -53,8 +53,13 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let held = now.saturating_sub(self.began);
-        let ejected =
-            self.shared.fleet().end(now, &self.service, &self.incarnation, self.symptom, held);
+        let ejected = self.shared.fleet().on_attempt_end(
+            now,
+            &self.service,
+            &self.incarnation,
+            self.symptom,
+            held,
+        );
         if ejected {
             self.shared.metrics.add_ejection();
             event::UPSTREAM_EJECTED.log(&[
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -294,7 +294,13 @@
     fn end(&mut self, call: usize, symptom: Option<Symptom>) -> Option<Sent> {
         let sent = self.sent.remove(&call)?;
         let held = self.now.saturating_sub(sent.at);
-        self.routers[sent.router].end(self.now, SERVICE, &sent.incarnation, symptom, held);
+        self.routers[sent.router].on_attempt_end(
+            self.now,
+            SERVICE,
+            &sent.incarnation,
+            symptom,
+            held,
+        );
         Some(sent)
     }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -174,7 +174,7 @@
         self.budget.try_take(now, service, self.membership.live())
     }
 
-    /// Chooses a replica and counts the request there; [`Fleet::end`] takes it off.
+    /// Chooses a replica and counts the request there; [`Fleet::on_attempt_end`] takes it off.
     pub fn place(
         &mut self,
         now: Duration,
@@ -239,7 +239,7 @@
     }
 
     /// Takes a request off a replica that held it for a time; tells whether the replica is ejected.
-    pub fn end(
+    pub fn on_attempt_end(
         &mut self,
         now: Duration,
         service: &str,
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -76,7 +76,7 @@
 fn fail(fleet: &mut Fleet, now: Duration, times: u32) {
     let upstream = Upstream::example("i-1", "service").incarnation();
     for _ in 0..times {
-        fleet.end(now, "service", &upstream, Some(Symptom::Broken), SECOND / 10);
+        fleet.on_attempt_end(now, "service", &upstream, Some(Symptom::Broken), SECOND / 10);
     }
 }
 
--- a/teaselworks_policy/tests/returns.rs
+++ b/teaselworks_policy/tests/returns.rs
@@ -65,7 +65,7 @@
     };
     assert!(fleet.place(SECOND, "service", &demand).is_ok());
     let incarnation = upstream.incarnation();
-    fleet.end(2 * SECOND, "service", &incarnation, Some(Symptom::Answered), SECOND);
+    fleet.on_attempt_end(2 * SECOND, "service", &incarnation, Some(Symptom::Answered), SECOND);
     let report = LoadReport { running: 8, waiting: 30 };
     fleet.on_load_report(2 * SECOND, "service", &incarnation, report);
     let refusal = fleet.place(2 * SECOND, "service", &demand).unwrap_err();
