--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -100,7 +100,7 @@
 
     /// Takes what other routers heard of upstreams.
     pub fn hear(&self, sightings: &Sightings) {
-        let judged = self.fleet().hear(self.now(), sightings);
+        let judged = self.fleet().merge_from_peer(self.now(), sightings);
         for Judged { upstream, is_ejected } in judged {
             if is_ejected {
                 self.metrics.add_ejection();
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -230,7 +230,7 @@
     /// for it.
     ///
     /// Answers many routers before many replicas, of which each hears from one only now and then.
-    pub fn hear(&mut self, now: Duration, sightings: &Sightings) -> Vec<Judged> {
+    pub fn merge_from_peer(&mut self, now: Duration, sightings: &Sightings) -> Vec<Judged> {
         if sightings.is_empty() {
             return Vec::new();
         }
--- a/teaselworks_policy/tests/loads.rs
+++ b/teaselworks_policy/tests/loads.rs
@@ -46,12 +46,15 @@
     );
     let report = LoadReport { running: 7, waiting: 1 };
     near.on_load_report(SECOND, "service", &upstream.incarnation(), report);
-    reader.hear(SECOND * 3 / 2, &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true));
+    reader.merge_from_peer(
+        SECOND * 3 / 2,
+        &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true),
+    );
     assert!(
         reader.sightings_after(2 * SECOND, Duration::ZERO, true).is_empty(),
         "it is not its own"
     );
-    far.hear(2 * SECOND, &reader.sightings_after(2 * SECOND, Duration::ZERO, false));
+    far.merge_from_peer(2 * SECOND, &reader.sightings_after(2 * SECOND, Duration::ZERO, false));
     assert_eq!(load_at(&far, 2 * SECOND), Some(SECOND));
     assert!(
         reader.sightings_after(3 * SECOND, 2 * SECOND, false).is_empty(),
@@ -69,7 +72,7 @@
     let mut current = fleet(&[before.clone(), after]);
     let report = LoadReport { running: 7, waiting: 1 };
     slow.on_load_report(SECOND, "service", &before.incarnation(), report);
-    current.hear(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
+    current.merge_from_peer(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
     assert_eq!(load_at(&current, SECOND), None);
 }
 
@@ -85,7 +88,7 @@
 }
 
 fn tell(from: &Fleet, to: &mut Fleet, now: Duration, after: Duration) -> usize {
-    to.hear(now, &from.sightings_after(now, after, true)).len()
+    to.merge_from_peer(now, &from.sightings_after(now, after, true)).len()
 }
 
 /// Guards against many routers that each find a silent replica by themselves, and against one that
