--- a/teaselworks_policy/src/clock.rs
+++ b/teaselworks_policy/src/clock.rs
@@ -1,18 +1,20 @@
-//! The clock interface; decisions take a reading, never the clock itself.
+//! The [`Clock`] trait, the clock of the operating system and a manual clock for tests.
+//!
+//! Decision functions take a clock reading as an argument and never read a clock themselves.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Source of time, passed in so that tests can move it.
+/// Source of time, passed in so that tests can control it.
 pub trait Clock: Send + Sync + 'static {
-    /// Returns the time since an arbitrary fixed start; never goes back.
+    /// Returns the time since an arbitrary fixed start; readings never decrease.
     fn monotonic(&self) -> Duration;
 
-    /// Returns the wall clock, which may jump.
+    /// Returns the wall-clock time, which may jump in either direction.
     fn wall(&self) -> SystemTime;
 }
 
-/// Clock of the operating system.
+/// [`Clock`] that reads the operating system's clocks.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Instant,
@@ -50,7 +52,7 @@
     }
 }
 
-/// Clock that moves only when told to.
+/// [`Clock`] for tests that moves only when [`ManualClock::advance`] is called.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     elapsed: Mutex<Duration>,
