--- a/teaselworks_policy/src/retry/budget.rs
+++ b/teaselworks_policy/src/retry/budget.rs
@@ -1,60 +1,64 @@
-//! The retry budget of the fleet, of which each router uses its part without asking the others.
+//! The retry budget of the fleet, of which each router uses its share without coordination.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the fleet's budget that is used: the rest covers routers that were counted late and
-/// requests that are counted in another window than their repeat.
-const USED_PART: f64 = 0.7;
+/// Share of the fleet's budget that is used. The rest covers changes in the number of routers that
+/// are noticed late, and requests that are counted in a different window than their retries.
+const USABLE_SHARE: f64 = 0.7;
 
-/// Bound on repeats, summed over all routers.
+/// Bound on the retries to one service, summed over all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Repeats for each request of a window.
+    /// Retries allowed per request of a window.
     pub ratio: f64,
-    /// Repeats in a window besides, for the whole fleet.
+    /// Retries that the whole fleet may make per window in addition, however few requests there
+    /// are.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
+/// Clock readings of the requests and retries to one service in the current window.
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
-/// Repeats of this router, by service.
+/// This router's share of the retry budget, by service.
 ///
-/// Repeats must not multiply the load that makes replicas fail. As the bound is on the sum over all
-/// routers, each takes the ratio of its own requests and an equal part of the rest.
+/// The budget keeps retries from multiplying the load that makes replicas fail. The bound applies
+/// to the sum over all routers; each router therefore uses the ratio of its own requests and an
+/// equal share of the slack.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
-    services: HashMap<Arc<str>, Window>,
+    by_service: HashMap<Arc<str>, Window>,
 }
 
 impl RetryBudget {
-    /// Makes an unused budget.
+    /// Creates a budget of which nothing is used.
     pub fn new(settings: BudgetSettings) -> Self {
-        Self { settings, services: HashMap::new() }
+        Self { settings, by_service: HashMap::new() }
     }
 
-    /// Changes the bound.
+    /// Replaces the bound.
     pub fn set_settings(&mut self, settings: BudgetSettings) {
         self.settings = settings;
     }
 
     /// Counts a request for a service.
     pub fn on_request(&mut self, now: Duration, service: &Arc<str>) {
-        let length = self.settings.window;
-        let window = self.services.entry(service.clone()).or_default();
-        trim(&mut window.requests, now, length);
+        let window_length = self.settings.window;
+        let window = self.by_service.entry(service.clone()).or_default();
+        drop_expired(&mut window.requests, now, window_length);
         window.requests.push_back(now);
     }
 
-    /// Takes one repeat; false, and nothing is taken, when this router's part is spent.
+    /// Takes one retry from this router's share of a service's budget; returns false, and takes
+    /// nothing, where the share is spent. `routers` is the number of routers that share the budget.
     ///
     /// ```
     /// use std::time::Duration;
@@ -67,22 +71,23 @@
     /// assert!(!budget.try_take(Duration::ZERO, &"service".into(), 2));
     /// ```
     pub fn try_take(&mut self, now: Duration, service: &Arc<str>, routers: u32) -> bool {
-        let BudgetSettings { ratio, slack, window: length } = self.settings;
-        let window = self.services.entry(service.clone()).or_default();
-        trim(&mut window.requests, now, length);
-        trim(&mut window.repeats, now, length);
-        let earned = ratio * window.requests.len() as f64;
-        let share = slack / f64::from(routers.max(1));
-        if window.repeats.len() as f64 + 1.0 > USED_PART * (earned + share) {
+        let BudgetSettings { ratio, slack, window: window_length } = self.settings;
+        let window = self.by_service.entry(service.clone()).or_default();
+        drop_expired(&mut window.requests, now, window_length);
+        drop_expired(&mut window.retries, now, window_length);
+        let ratio_allowance = ratio * window.requests.len() as f64;
+        let slack_allowance = slack / f64::from(routers.max(1));
+        if window.retries.len() as f64 + 1.0 > USABLE_SHARE * (ratio_allowance + slack_allowance) {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
 
-fn trim(times: &mut VecDeque<Duration>, now: Duration, length: Duration) {
-    while times.front().is_some_and(|time| now.saturating_sub(*time) > length) {
+/// Drops the times that are longer ago than the window.
+fn drop_expired(times: &mut VecDeque<Duration>, now: Duration, window_length: Duration) {
+    while times.front().is_some_and(|time| now.saturating_sub(*time) > window_length) {
         times.pop_front();
     }
 }
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -1,38 +1,38 @@
-//! What follows a failed attempt.
+//! The decision that follows a failed attempt: retry or give up.
 
 use std::time::Duration;
 
 use crate::verdict::{Refusal, RefusalReason, Verdict};
 
-/// Most upstreams that one request is offered to, also when none of them ran it: more would only
-/// add to the load that made them turn it away.
-const OFFERS: u32 = 4;
-/// Least time for which another attempt is worth its load.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+/// Maximum number of upstreams that one request is sent to, even if none of them executed it. More
+/// attempts would only add to the load that made them turn it away.
+const MAX_TRIED_UPSTREAMS: u32 = 4;
+/// Minimum time left for another attempt; with less, an answer is too unlikely to justify the load.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(20);
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection could be opened.
+    /// No connection to the upstream could be opened.
     Unreachable,
-    /// The kept connection was closed before a byte of the request was written.
+    /// The reused connection was closed before any byte of the request was written.
     NotSent,
-    /// The upstream said that it did not execute the request.
+    /// The upstream answered that it did not execute the request.
     Rejected,
-    /// Another upstream has the address now, and said so.
+    /// Another upstream has taken over the address, and answered so.
     Moved,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// What arrived was not the answer to this request.
+    /// The data received was not the answer to this request.
     Foreign,
-    /// The upstream answered that it failed, which counts as executed.
+    /// The upstream answered with an error, which counts as executed.
     Failed,
-    /// Nothing came for so long that another upstream is asked.
+    /// No data arrived within the route's silence timeout.
     Silent,
 }
 
 impl Failure {
-    /// Every failure, in the order of the metrics.
+    /// All failures, in the order in which the metrics list them.
     pub const ALL: [Failure; 8] = [
         Failure::Unreachable,
         Failure::NotSent,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells whether the request may have been executed.
+    /// Returns whether the request may have been executed in the failed attempt.
     ///
     /// ```
     /// use teaselworks_policy::retry::Failure;
@@ -83,23 +83,24 @@
         }
     }
 
-    /// Tells whether the request reached an upstream, so that another attempt counts as a repeat.
+    /// Returns whether the request was sent to an upstream, so that another attempt must be taken
+    /// from the retry budget.
     pub fn was_sent(self) -> bool {
         !matches!(self, Failure::Unreachable | Failure::NotSent)
     }
 }
 
-/// Why a request is sent again; each reason has a counter of its own.
+/// Why a request is retried; the metrics count each reason separately.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryReason {
-    /// An attempt failed before its answer had begun.
+    /// An attempt failed before its answer began.
     Failed(Failure),
-    /// A stream broke off and goes on after its last event.
+    /// A stream broke off and is resumed at another upstream after the last event received.
     Resumed,
 }
 
 impl RetryReason {
-    /// Returns every reason, in the order of the metrics.
+    /// Returns all reasons, in the order in which the metrics list them.
     pub fn all() -> impl Iterator<Item = RetryReason> {
         Failure::ALL.into_iter().map(RetryReason::Failed).chain([RetryReason::Resumed])
     }
@@ -119,59 +120,63 @@
     }
 }
 
-/// What is known about a request when an attempt of it has failed.
+/// Attempts of a request so far, and what it still allows, when an attempt has failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AttemptHistory {
-    /// The request may run more than once.
+    /// The request may be executed more than once.
     pub is_idempotent: bool,
-    /// Upstreams that it was sent to so far.
+    /// Number of upstreams that the request was sent to so far.
     pub tried_count: u32,
-    /// Upstreams on which it may have run so far.
+    /// Number of upstreams that may have executed the request so far.
     pub runs: u32,
-    /// Upstreams on which it may run at most.
+    /// Maximum number of upstreams that may execute the request.
     pub max_runs: u32,
-    /// Time that is left to it.
+    /// Time left until the request's deadline.
     pub remaining: Duration,
 }
 
-/// What follows.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Send the request to another upstream, for this reason, if the budget allows it where
-    /// `is_budgeted` says so.
+    /// Send the request to another upstream. If `is_budgeted`, only if the retry budget allows it.
     Retry {
-        /// Why.
+        /// Why the request is retried.
         reason: RetryReason,
-        /// The attempt counts as a repeat.
+        /// The retry must be taken from the retry budget.
         is_budgeted: bool,
     },
-    /// Answer the caller.
+    /// Answer the caller with this refusal.
     GiveUp(Refusal),
 }
 
-/// Decides what follows a failed attempt; `attempts` counts it already.
+/// Decides whether to retry a request after an attempt failed with `failure`; `history` includes
+/// the failed attempt.
+///
+/// A request is given up with a verdict that covers all of its attempts, not only the last one.
 ///
 /// ```
 /// use std::time::Duration;
 /// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide_retry};
 ///
 /// let remaining = Duration::from_secs(1);
-/// let attempts = AttemptHistory { is_idempotent: false, tried_count: 1, runs: 1, max_runs: 1, remaining };
-/// assert!(matches!(decide_retry(Failure::Broken, &attempts), RetryDecision::GiveUp(_)));
+/// let history =
+///     AttemptHistory { is_idempotent: false, tried_count: 1, runs: 1, max_runs: 1, remaining };
+/// assert!(matches!(decide_retry(Failure::Broken, &history), RetryDecision::GiveUp(_)));
 /// ```
-pub fn decide_retry(failure: Failure, attempts: &AttemptHistory) -> RetryDecision {
-    let ran_before = attempts.runs > 0;
-    let verdict = if ran_before { Verdict::MayHaveRun } else { Verdict::NotRun };
-    let has_time = attempts.remaining >= LEAST_TIME;
-    let has_attempts = attempts.tried_count < OFFERS && attempts.runs < attempts.max_runs;
-    if has_time && has_attempts && verdict.retry_is_safe(attempts.is_idempotent) {
+pub fn decide_retry(failure: Failure, history: &AttemptHistory) -> RetryDecision {
+    let has_possible_run = history.runs > 0;
+    let verdict = if has_possible_run { Verdict::MayHaveRun } else { Verdict::NotRun };
+    let has_time_left = history.remaining >= MIN_RETRY_TIME;
+    let has_attempts_left =
+        history.tried_count < MAX_TRIED_UPSTREAMS && history.runs < history.max_runs;
+    if has_time_left && has_attempts_left && verdict.is_retry_safe(history.is_idempotent) {
         return RetryDecision::Retry {
             reason: RetryReason::Failed(failure),
             is_budgeted: failure.was_sent(),
         };
     }
     let reason = match failure {
-        _ if !has_time => RefusalReason::Deadline,
+        _ if !has_time_left => RefusalReason::Deadline,
         Failure::Unreachable | Failure::NotSent => RefusalReason::Unreachable,
         Failure::Rejected | Failure::Moved => RefusalReason::Rejected,
         Failure::Broken | Failure::Foreign | Failure::Failed | Failure::Silent => {
--- a/teaselworks_policy/src/retry/mod.rs
+++ b/teaselworks_policy/src/retry/mod.rs
@@ -1,4 +1,5 @@
-//! Whether a request whose attempt failed is sent to another upstream.
+//! Retries: whether a request whose attempt failed is sent to another upstream, and the budget that
+//! limits how often that happens.
 
 mod budget;
 mod decision;
--- a/teaselworks_policy/src/verdict.rs
+++ b/teaselworks_policy/src/verdict.rs
@@ -1,31 +1,33 @@
-//! What is known about whether a request was executed, and why one was refused.
+//! Refusals of requests: the reason, whether an upstream may have executed the request, and the
+//! HTTP status that follows.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Says whether a failed request may have been executed by an upstream.
+/// Whether an upstream may have executed a request that failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Verdict {
-    /// No byte of the request reached an upstream, or the upstream said that it did nothing.
+    /// Certainly not executed: no byte of the request reached an upstream, or each upstream that it
+    /// reached answered that it did not execute it.
     NotRun,
-    /// The request may have reached an upstream whose answer is lost.
+    /// Possibly executed: the request may have reached an upstream whose answer was lost.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// Tells whether another attempt is safe for a request of the given idempotence.
+    /// Returns whether another attempt is safe: the request was not executed, or it is idempotent.
     ///
     /// ```
     /// use teaselworks_policy::verdict::Verdict;
     ///
-    /// assert!(Verdict::NotRun.retry_is_safe(false));
-    /// assert!(!Verdict::MayHaveRun.retry_is_safe(false));
+    /// assert!(Verdict::NotRun.is_retry_safe(false));
+    /// assert!(!Verdict::MayHaveRun.is_retry_safe(false));
     /// ```
-    pub fn retry_is_safe(self, idempotent: bool) -> bool {
-        self == Verdict::NotRun || idempotent
+    pub fn is_retry_safe(self, is_idempotent: bool) -> bool {
+        self == Verdict::NotRun || is_idempotent
     }
 
-    /// Returns the name in metrics, logs and answers.
+    /// Returns the verdict's name in metrics, logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -40,45 +42,48 @@
     }
 }
 
-/// Why a request was refused or given up on; each reason has a counter of its own.
+/// Why a request was refused or given up; the metrics count each reason separately.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// The router has no configuration yet.
     NoConfiguration,
-    /// The request is not valid HTTP, or lacks what its route needs.
+    /// The request is not valid HTTP, or lacks something that its route requires.
     Malformed,
-    /// No route of the configuration matches host and path.
+    /// No route of the configuration matches the host and path.
     UnknownRoute,
-    /// No key, or one that no workspace holds.
+    /// The request has no API key, or one that belongs to no workspace.
     Unauthorized,
     /// The body exceeds the configured limit.
     TooLarge,
-    /// The body did not arrive in time.
+    /// The body of the request did not arrive in time.
     BodyTimeout,
-    /// No replica of the service is known, or all of them are ejected or were tried.
+    /// No replica of the service is known, or all of them are ejected or were tried already.
     NoReplica,
-    /// Every replica is full, and none will have room in the time that is left.
+    /// Every replica is full, and none will have a free slot in the time that the request has left.
     Overloaded,
-    /// This router has as many requests at the service as are answered in time.
+    /// This router has as many requests in progress at the service as its concurrency limit allows.
     Limited,
-    /// Nearly all slots of the service are taken, and the caller is late already.
+    /// Nearly all slots of the service are taken, and the caller is late: it was refused before and
+    /// came back.
     LateCaller,
     /// No replica could be connected to.
     Unreachable,
-    /// Replicas turned the request away unexecuted, and the retry budget is spent.
+    /// An upstream turned the request away without executing it, and the retry budget of the
+    /// service is spent.
     RetryBudget,
-    /// Replicas turned the request away unexecuted, as often as it may be sent.
+    /// Replicas turned the request away unexecuted, and it may not be sent to another one.
     Rejected,
-    /// The time of the request passed.
+    /// The deadline of the request passed.
     Deadline,
-    /// A replica broke off, or its answer was not one to this request.
+    /// A replica failed, broke off or was silent, or it sent something other than the answer to
+    /// this request.
     UpstreamFailed,
     /// The router is stopping.
     Stopping,
 }
 
 impl RefusalReason {
-    /// Every reason, in the order of the metrics.
+    /// All reasons, in the order in which the metrics list them.
     pub const ALL: [RefusalReason; 16] = [
         RefusalReason::NoConfiguration,
         RefusalReason::Malformed,
@@ -98,7 +103,7 @@
         RefusalReason::Stopping,
     ];
 
-    /// Tells whether a service has no room for the request, of which it will have some again.
+    /// Returns whether the service is overloaded, so that the same request may be accepted later.
     pub fn is_overload(self) -> bool {
         matches!(
             self,
@@ -141,19 +146,19 @@
     }
 }
 
-/// The final answer to a request that was given up on.
+/// The final answer to a request that was refused or given up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why the request was given up on.
+    /// Why the request was refused or given up.
     pub reason: RefusalReason,
     /// Whether an upstream may have executed it.
     pub verdict: Verdict,
-    /// When the caller should return; `None` when returning will not help or is not safe.
+    /// Time after which the caller should retry; `None` where a retry will not help or is not safe.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes a refusal of a request that no upstream has executed.
+    /// Creates the refusal of a request that no upstream has executed.
     ///
     /// ```
     /// use teaselworks_policy::verdict::{Refusal, RefusalReason};
@@ -164,7 +169,7 @@
         Self { reason, verdict: Verdict::NotRun, retry_after }
     }
 
-    /// Makes the answer to a request that may have been executed.
+    /// Creates the final answer to a failed request that an upstream may have executed.
     ///
     /// ```
     /// use teaselworks_policy::verdict::{Refusal, RefusalReason};
@@ -175,10 +180,11 @@
         Self { reason, verdict: Verdict::MayHaveRun, retry_after: None }
     }
 
-    /// Returns the HTTP status that callers see.
+    /// Returns the HTTP status of the answer.
     ///
-    /// Callers take 408, 421, 429 and 503 as a promise that the request was not executed, and repeat
-    /// it; the verdict therefore goes before the reason.
+    /// Callers take 408, 421, 429 and 503 to mean that the request was not executed, and send it
+    /// again. The verdict therefore takes precedence over the reason: a request that may have been
+    /// executed gets 502 or 504.
     ///
     /// ```
     /// use teaselworks_policy::verdict::{Refusal, RefusalReason};
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, and the budget for it.
+//! The decision after a failed attempt, and the retry budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,84 +20,89 @@
     Failure::Silent,
 ];
 
-fn attempts(is_idempotent: bool, runs: u32) -> AttemptHistory {
+fn history(is_idempotent: bool, runs: u32) -> AttemptHistory {
     let remaining = Duration::from_secs(2);
     AttemptHistory { is_idempotent, tried_count: 1, runs, max_runs: 2, remaining }
 }
 
-/// Guards against a second run of a request whose answer was lost.
+/// Guards against executing a request twice: one that may have been executed, because its answer
+/// was lost, is retried only if it is idempotent.
 #[test]
-fn what_may_have_run_is_not_sent_again_unless_it_may_repeat() {
+fn possibly_executed_requests_are_retried_only_if_idempotent() {
     for failure in FAILURES {
         let has_run = failure.verdict() == Verdict::MayHaveRun;
-        let next = decide_retry(failure, &attempts(false, u32::from(has_run)));
-        assert_eq!(matches!(next, RetryDecision::GiveUp(_)), has_run, "{failure:?}");
-        let next = decide_retry(failure, &attempts(true, u32::from(has_run)));
-        assert!(matches!(next, RetryDecision::Retry { .. }), "{failure:?}");
+        let decision = decide_retry(failure, &history(false, u32::from(has_run)));
+        assert_eq!(matches!(decision, RetryDecision::GiveUp(_)), has_run, "{failure:?}");
+        let decision = decide_retry(failure, &history(true, u32::from(has_run)));
+        assert!(matches!(decision, RetryDecision::Retry { .. }), "{failure:?}");
     }
 }
 
-/// Guards against a refusal that tells of the last attempt alone.
+/// Guards against a refusal that considers only the last attempt: it would tell the caller that the
+/// request was not executed although an earlier attempt may have executed it.
 #[test]
-fn a_promise_covers_every_attempt() {
-    let given_up = AttemptHistory { tried_count: 4, ..attempts(true, 1) };
+fn the_refusal_covers_every_attempt() {
+    let given_up = AttemptHistory { tried_count: 4, ..history(true, 1) };
     for failure in FAILURES {
         let RetryDecision::GiveUp(refusal) = decide_retry(failure, &given_up) else {
-            panic!("{failure:?}: four offers are enough");
+            panic!("{failure:?}: expected to give up after four upstreams");
         };
         assert!([502, 504].contains(&refusal.http_status()), "{failure:?}");
     }
 }
 
+/// Guards against a retry after the deadline of the request.
 #[test]
-fn a_request_whose_time_has_passed_is_given_up() {
-    let late = AttemptHistory { remaining: Duration::ZERO, ..attempts(true, 0) };
-    let RetryDecision::GiveUp(refusal) = decide_retry(Failure::Rejected, &late) else {
-        panic!("no time is left");
+fn a_request_past_its_deadline_is_given_up() {
+    let expired = AttemptHistory { remaining: Duration::ZERO, ..history(true, 0) };
+    let RetryDecision::GiveUp(refusal) = decide_retry(Failure::Rejected, &expired) else {
+        panic!("expected to give up: no time is left");
     };
     assert_eq!(refusal.http_status(), 503);
 }
 
-/// A router that sees requests and failed attempts at times.
+/// A request that arrives at a router, and whether an attempt of it fails and needs a retry.
 #[derive(Clone, Debug)]
-struct Load {
+struct RequestEvent {
     router: usize,
     at_ms: u64,
-    wants_repeat: bool,
+    wants_retry: bool,
 }
 
-fn loads(routers: usize) -> impl Strategy<Value = Vec<Load>> {
-    let load = (0..routers, 0_u64..30_000, any::<bool>());
-    let load = load.prop_map(|(router, at_ms, wants_repeat)| Load { router, at_ms, wants_repeat });
-    prop::collection::vec(load, 0..600)
+fn events(routers: usize) -> impl Strategy<Value = Vec<RequestEvent>> {
+    let event = (0..routers, 0_u64..30_000, any::<bool>());
+    let event =
+        event.prop_map(|(router, at_ms, wants_retry)| RequestEvent { router, at_ms, wants_retry });
+    prop::collection::vec(event, 0..600)
 }
 
 proptest! {
-    /// Guards against routers that keep to the retry budget each, but not together.
+    /// Guards against routers that each keep within their share of the retry budget but exceed the
+    /// budget of the fleet together.
     #[test]
-    fn the_sum_over_routers_keeps_the_bound(mut loads in loads(7)) {
+    fn retries_of_all_routers_stay_within_the_budget(mut events in events(7)) {
         let window = Duration::from_secs(10);
         let settings = BudgetSettings { ratio: 0.2, slack: 10.0, window };
         let service: Arc<str> = "chat".into();
         let mut budgets: Vec<RetryBudget> = (0..7).map(|_| RetryBudget::new(settings)).collect();
-        loads.sort_by_key(|load| load.at_ms);
+        events.sort_by_key(|event| event.at_ms);
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
-        for load in &loads {
-            let now = Duration::from_millis(load.at_ms);
-            budgets[load.router].on_request(now, &service);
+        let mut retries = Vec::new();
+        for event in &events {
+            let now = Duration::from_millis(event.at_ms);
+            budgets[event.router].on_request(now, &service);
             requests.push(now);
-            if load.wants_repeat && budgets[load.router].try_take(now, &service, 7) {
-                repeats.push(now);
+            if event.wants_retry && budgets[event.router].try_take(now, &service, 7) {
+                retries.push(now);
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let start = end.saturating_sub(window);
             let count = |times: &[Duration]| {
                 times.iter().filter(|time| **time >= start && *time <= end).count() as f64
             };
             let bound = settings.ratio * count(&requests) + settings.slack;
-            prop_assert!(count(&repeats) <= bound);
+            prop_assert!(count(&retries) <= bound);
         }
     }
 }
