--- a/teaselworks_policy/src/configuration/mod.rs
+++ b/teaselworks_policy/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! What the operator configured: routes, services, workspaces and limits of requests.
+//! The operator's configuration: routes, services, workspaces and limits on requests.
 
 mod route;
 mod routes;
@@ -12,43 +12,45 @@
 pub use self::routes::Routes;
 pub use self::workspace::{Workspace, Workspaces};
 
-/// One numbered configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Number; a later configuration has a larger one, with gaps.
+    /// Version number. It grows with each configuration, but not by one: numbers may be skipped.
     pub version: u64,
-    /// Routes by host and path.
+    /// Route table, by host and path.
     pub routes: Routes,
     /// Services by name.
     pub services: HashMap<Arc<str>, Service>,
     /// Workspaces by API key.
     pub workspaces: Workspaces,
-    /// Bounds on what callers may send.
+    /// Limits on requests.
     pub limits: RequestLimits,
 }
 
-/// A group of replicas that answer the same requests.
+/// Properties of a service, which is a group of replicas that answer the same requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Service {
-    /// Its replicas are engines that can copy parts of prompts from each other.
+    /// Its replicas are model engines that can transfer the key-value cache of prompt parts to each
+    /// other.
     pub has_kv_transfer: bool,
 }
 
-/// Bounds on what callers may send, and how slowly.
+/// Limits on the size of requests and on the time that callers may take to send them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestLimits {
-    /// Largest head of a request.
+    /// Maximum size of a request's head.
     pub header_size_bytes: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request's body.
     pub body_size_bytes: u64,
-    /// Longest time from the first byte of a head to its end.
+    /// Maximum time from the first byte of a request's head to its end.
     pub header_timeout: Duration,
-    /// Longest time in which a connection may be idle, or a body may stand still.
+    /// Maximum time for which a connection may be idle, or no byte of a body may arrive.
     pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
-    /// Returns what holds before a configuration is known: common defaults of HTTP servers.
+    /// Returns the limits that apply until a configuration is known. They are common defaults of
+    /// HTTP servers.
     fn default() -> Self {
         Self {
             header_size_bytes: 16 << 10,
--- a/teaselworks_policy/src/configuration/route.rs
+++ b/teaselworks_policy/src/configuration/route.rs
@@ -1,67 +1,69 @@
-//! One route: which requests it takes, where they go and how they may be repeated.
+//! A route: which requests it matches, the services they go to, and how they may be retried.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Multiple of what callers aim at beyond which silence is not awaited; they leave a silent stream
-/// some time after that.
-const SILENCE_FACTOR: u32 = 3;
+/// Silence timeout as a multiple of the larger of target latency and target gap. Callers close a
+/// silent stream only some time after that.
+const SILENCE_TIMEOUT_FACTOR: u32 = 3;
 
-/// What a route carries.
+/// How the requests of a route are answered and whether they may be executed more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// Whole answers, executed as often as needed.
+    /// Ordinary answers, not streams. A request may be executed any number of times.
     Idempotent,
-    /// Whole answers, executed at most once for each attempt of the caller.
+    /// Ordinary answers, not streams. A request is executed at most once per attempt of the caller.
     AtMostOnce,
-    /// Server-sent events; at most once, unless the route is resumable.
+    /// Answers are streams of server-sent events. A request is executed at most once, unless the
+    /// route is resumable.
     Stream,
 }
 
-/// A service that a share of a route's requests goes to.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Share of the requests, relative to the other targets.
+    /// Share of the requests, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// One route of the configuration.
+/// A route of the configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, which identifies the route in logs and statistics.
     pub name: Arc<str>,
-    /// Host that requests name.
+    /// Host that requests must name.
     pub host: Arc<str>,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Prefix that the path must have; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What the route carries.
+    /// How requests are answered and whether they may be executed more than once.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting for the end of the answer.
+    /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
-    /// Time to the answer, or to the first event, that callers aim at.
+    /// Target for the time to the answer or, for a stream, to the first event. Zero means none.
     pub target_latency: Duration,
-    /// Longest pause between events that callers aim at.
+    /// Target for the longest pause between events of a stream.
     pub target_gap: Duration,
-    /// Rank of the requests; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that the requests are distributed over.
     pub targets: Vec<Target>,
-    /// Most replicas on which one attempt of the caller may run.
+    /// Maximum number of replicas that may execute one attempt of the caller.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Requests need no API key.
     pub is_anonymous: bool,
-    /// Requests describe a prompt whose parts engines keep for later requests.
+    /// Requests describe a prompt, whose parts engines keep in a cache for later requests.
     pub has_prompts: bool,
-    /// A broken stream may be resumed at another replica after its last event.
+    /// A stream that broke off may be resumed at another replica after the last event received.
     pub is_resumable: bool,
 }
 
 impl Route {
-    /// Tells whether a request may run a second time after it may have run.
+    /// Returns whether a request may be executed again although it may have been executed already.
+    /// That holds for idempotent routes and for resumable streams.
     ///
     /// ```
     /// use teaselworks_policy::configuration::{Kind, Route};
@@ -77,9 +79,11 @@
         }
     }
 
-    /// Returns the silence after which a request that may run again is asked elsewhere.
+    /// Returns the time without data from a replica after which an idempotent request is sent to
+    /// another one.
     ///
-    /// A replica that went dark or lost the answer says nothing until the deadline.
+    /// A replica that has become unreachable, or that lost the answer, would otherwise stay silent
+    /// until the deadline.
     ///
     /// ```
     /// use std::time::Duration;
@@ -89,10 +93,14 @@
     /// assert_eq!(route.silence_timeout(), Duration::from_millis(1_200));
     /// ```
     pub fn silence_timeout(&self) -> Duration {
-        self.target_latency.max(self.target_gap) * SILENCE_FACTOR
+        self.target_latency.max(self.target_gap) * SILENCE_TIMEOUT_FACTOR
     }
 
-    /// Picks the service for a request: the same for each look at the same identifier.
+    /// Picks the service for a request, in proportion to the weights of the targets; `None` where
+    /// all weights are zero.
+    ///
+    /// The choice depends on the request's identifier alone, so that every attempt of the same
+    /// request goes to the same service.
     ///
     /// ```
     /// use teaselworks_policy::configuration::{Kind, Route};
@@ -101,11 +109,11 @@
     /// assert_eq!(&*route.service_for("9c41").unwrap(), "service");
     /// ```
     pub fn service_for(&self, request_id: &str) -> Option<Arc<str>> {
-        let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        if total == 0 {
+        let total_weight: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
+        if total_weight == 0 {
             return None;
         }
-        let mut point = xxh3_64(request_id.as_bytes()) % total;
+        let mut point = xxh3_64(request_id.as_bytes()) % total_weight;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if point < weight {
@@ -116,7 +124,7 @@
         None
     }
 
-    /// Makes a route to the service `service`, for examples and tests.
+    /// Creates a route to the service `service`, for examples and tests.
     ///
     /// ```
     /// use teaselworks_policy::configuration::{Kind, Route};
--- a/teaselworks_policy/src/configuration/workspace.rs
+++ b/teaselworks_policy/src/configuration/workspace.rs
@@ -1,20 +1,21 @@
-//! Workspaces and the API keys that name them.
+//! Workspaces and the API keys that identify them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A team that draws on the fleet.
+/// A workspace: a team whose requests the fleet serves.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
-    /// Name.
+    /// Name of the team.
     pub name: Arc<str>,
-    /// Rank of its requests in place of the route's, where set; 0 is the most urgent.
+    /// Priority of its requests, which replaces that of the route; 0 is the most urgent. `None`
+    /// keeps the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// Workspaces by key.
+/// Workspaces by API key.
 ///
-/// A configuration without any workspace asks for no keys at all.
+/// A configuration without workspaces requires no API keys.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     by_key: HashMap<Box<str>, Arc<Workspace>>,
@@ -22,14 +23,14 @@
 }
 
 impl Workspaces {
-    /// Makes the table of a configuration that lists workspaces, each with its keys.
+    /// Creates the table from workspaces and their API keys.
     ///
     /// ```
     /// use teaselworks_policy::configuration::{Workspace, Workspaces};
     ///
-    /// let choir = Workspace { name: "choir".into(), priority: None };
-    /// let workspaces = Workspaces::new([(choir, vec!["key-1".into()])]);
-    /// assert_eq!(&*workspaces.find("key-1").unwrap().name, "choir");
+    /// let search = Workspace { name: "search".into(), priority: None };
+    /// let workspaces = Workspaces::new([(search, vec!["key-1".into()])]);
+    /// assert_eq!(&*workspaces.find("key-1").unwrap().name, "search");
     /// assert!(workspaces.find("key-2").is_none());
     /// ```
     pub fn new(workspaces: impl IntoIterator<Item = (Workspace, Vec<Box<str>>)>) -> Self {
@@ -44,12 +45,12 @@
         table
     }
 
-    /// Finds the workspace that holds a key.
+    /// Finds the workspace that an API key belongs to.
     pub fn find(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
-    /// Tells whether requests need a key, unless their route is anonymous.
+    /// Returns whether requests need an API key, unless their route is anonymous.
     pub fn is_key_required(&self) -> bool {
         self.is_key_required
     }
