--- a/teaselworks_policy/src/configuration/routes.rs
+++ b/teaselworks_policy/src/configuration/routes.rs
@@ -1,4 +1,4 @@
-//! The route table: host, then the longest prefix of the path.
+//! The route table, which matches requests by host and then by the longest prefix of the path.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -6,21 +6,23 @@
 
 use super::Route;
 
-/// Routes by host, those with longer prefixes first.
+/// The route table: routes by host, those with longer prefixes first.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
     names: HashSet<Arc<str>>,
-    targets: HashMap<Arc<str>, Duration>,
+    /// Shortest target latency of the routes to each service.
+    target_latencies: HashMap<Arc<str>, Duration>,
 }
 
 impl Routes {
-    /// Makes the table.
+    /// Creates the table.
     ///
     /// ```
     /// use teaselworks_policy::configuration::{Kind, Route, Routes};
     ///
-    /// let routes = Routes::new(["/a/", "/a/b/"].map(|prefix| Route::example(Kind::Stream, prefix)));
+    /// let prefixes = ["/a/", "/a/b/"];
+    /// let routes = Routes::new(prefixes.map(|prefix| Route::example(Kind::Stream, prefix)));
     /// assert_eq!(&*routes.find("host", "/a/b/c").unwrap().prefix, "/a/b/");
     /// assert_eq!(&*routes.find("host", "/a/c").unwrap().prefix, "/a/");
     /// assert!(routes.find("other", "/a/c").is_none());
@@ -28,15 +30,16 @@
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         let mut names = HashSet::new();
-        let mut targets: HashMap<Arc<str>, Duration> = HashMap::new();
+        let mut target_latencies: HashMap<Arc<str>, Duration> = HashMap::new();
         for route in routes {
             names.insert(route.name.clone());
             for target in &route.targets {
-                let aim = route.target_latency;
-                let shortest = targets.entry(target.service.clone()).or_insert(aim);
-                // A route that states no aim bounds nothing.
-                if shortest.is_zero() || (!aim.is_zero() && aim < *shortest) {
-                    *shortest = aim;
+                let target_latency = route.target_latency;
+                let shortest =
+                    target_latencies.entry(target.service.clone()).or_insert(target_latency);
+                // A target latency of zero means that the route has none.
+                if shortest.is_zero() || (!target_latency.is_zero() && target_latency < *shortest) {
+                    *shortest = target_latency;
                 }
             }
             hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
@@ -46,22 +49,23 @@
                 b.prefix.len().cmp(&a.prefix.len()).then_with(|| a.prefix.cmp(&b.prefix))
             });
         }
-        targets.retain(|_, aim| !aim.is_zero());
-        Self { hosts, names, targets }
+        target_latencies.retain(|_, target_latency| !target_latency.is_zero());
+        Self { hosts, names, target_latencies }
     }
 
-    /// Finds the route of a request; `path` is without its query.
+    /// Finds the route of a request; `path` must not include the query string.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.hosts.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns the shortest time to an answer that callers of a service aim at, where any states one.
-    pub fn shortest_target(&self, service: &str) -> Option<Duration> {
-        self.targets.get(service).copied()
+    /// Returns the shortest target latency of the routes to a service; `None` where none of them
+    /// has one.
+    pub fn shortest_target_latency(&self, service: &str) -> Option<Duration> {
+        self.target_latencies.get(service).copied()
     }
 
-    /// Tells whether a route has a name.
-    pub fn has(&self, name: &str) -> bool {
+    /// Returns whether the table has a route of the given name.
+    pub fn contains_route(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
@@ -70,7 +74,7 @@
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Tells whether there is no route.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -51,7 +51,7 @@
 
     /// Forgets routes that a configuration does not have.
     pub fn retain(&mut self, routes: &Routes) {
-        self.routes.retain(|name, _| routes.has(name));
+        self.routes.retain(|name, _| routes.contains_route(name));
     }
 }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -86,7 +86,7 @@
         self.times.retain(&configuration.routes);
         self.deadlines.retain(&configuration.routes);
         for (service, pool) in &mut self.pools {
-            pool.set_target(configuration.routes.shortest_target(service));
+            pool.set_target(configuration.routes.shortest_target_latency(service));
         }
         self.configuration = Some(Arc::new(configuration));
         true
@@ -112,7 +112,7 @@
         }
         let service = &upstream.service;
         let routes = self.configuration.as_ref().map(|configuration| &configuration.routes);
-        let target = routes.and_then(|routes| routes.shortest_target(service));
+        let target = routes.and_then(|routes| routes.shortest_target_latency(service));
         let pool = self.pools.entry(service.clone()).or_default();
         pool.set_target(target);
         pool.put(upstream.clone());
--- a/teaselworks_policy/src/times.rs
+++ b/teaselworks_policy/src/times.rs
@@ -78,6 +78,6 @@
 
     /// Forgets routes that a configuration does not have.
     pub fn retain(&mut self, routes: &Routes) {
-        self.routes.retain(|name, _| routes.has(name));
+        self.routes.retain(|name, _| routes.contains_route(name));
     }
 }
