--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -1,4 +1,4 @@
-//! How long a request may still take.
+//! Deadlines of requests, and the detection of late callers by their deadlines.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,67 +6,75 @@
 
 use crate::configuration::{Route, Routes};
 
-/// Weight of a longer deadline in the shortest usual one, which rises while shorter ones stay away.
-const LONGER_WEIGHT: f64 = 0.002;
-/// Part of the shortest usual deadline below which a caller has waited already.
-const RETURNED_SHARE: f64 = 0.97;
+/// Weight of a deadline above the baseline in the moving baseline of a route. The baseline rises
+/// slowly while no shorter deadline arrives.
+const RISE_WEIGHT: f64 = 0.002;
+/// Share of the baseline below which a deadline means that its caller has already spent part of its
+/// time waiting.
+const LATE_THRESHOLD: f64 = 0.97;
 
-/// Shortest time that callers of each route usually wait for an answer.
+/// Baseline of the deadlines that callers of each route send: the shortest deadline that is usual
+/// for a first attempt.
 ///
-/// Callers state what is left of it, and differ in their patience. Less than any of them states at
-/// first is left to one that was refused before and came back: it is late already.
+/// A caller sends the time it has left, and callers differ in how long they wait in total. A
+/// deadline that is shorter than any first attempt of the route sends belongs to a late caller: one
+/// that was refused before and came back.
 #[derive(Debug, Default)]
-pub struct UsualDeadlines {
-    routes: HashMap<Arc<str>, Duration>,
+pub struct DeadlineBaselines {
+    by_route: HashMap<Arc<str>, Duration>,
 }
 
-impl UsualDeadlines {
-    /// Takes a caller's deadline while nobody is refused.
+impl DeadlineBaselines {
+    /// Records a caller's deadline. Must only be called while no caller is being refused, so that
+    /// the deadline belongs to a first attempt.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks_policy::configuration::{Kind, Route};
-    /// use teaselworks_policy::deadline::UsualDeadlines;
+    /// use teaselworks_policy::deadline::DeadlineBaselines;
     ///
     /// let route = Route::example(Kind::Stream, "/a/");
-    /// let mut deadlines = UsualDeadlines::default();
-    /// deadlines.learn(&route, Duration::from_secs(3));
+    /// let mut deadlines = DeadlineBaselines::default();
+    /// deadlines.observe(&route, Duration::from_secs(3));
     /// assert!(!deadlines.is_late(&route, Duration::from_secs(3)));
     /// assert!(deadlines.is_late(&route, Duration::from_secs(2)));
     /// ```
-    pub fn learn(&mut self, route: &Route, deadline: Duration) {
-        let Some(shortest) = self.routes.get_mut(&route.name) else {
-            self.routes.insert(route.name.clone(), deadline);
+    pub fn observe(&mut self, route: &Route, deadline: Duration) {
+        let Some(baseline) = self.by_route.get_mut(&route.name) else {
+            self.by_route.insert(route.name.clone(), deadline);
             return;
         };
-        let rise = deadline.saturating_sub(*shortest).mul_f64(LONGER_WEIGHT);
-        *shortest = deadline.min(*shortest + rise);
+        let rise = deadline.saturating_sub(*baseline).mul_f64(RISE_WEIGHT);
+        *baseline = deadline.min(*baseline + rise);
     }
 
-    /// Tells whether a caller has waited already, by what is left of its time.
+    /// Returns whether the caller is late: the time that it has left shows that it was refused
+    /// before and came back.
     pub fn is_late(&self, route: &Route, deadline: Duration) -> bool {
-        let shortest = self.routes.get(&route.name);
-        shortest.is_some_and(|shortest| deadline < shortest.mul_f64(RETURNED_SHARE))
+        let baseline = self.by_route.get(&route.name);
+        baseline.is_some_and(|baseline| deadline < baseline.mul_f64(LATE_THRESHOLD))
     }
 
-    /// Forgets routes that a configuration does not have.
+    /// Drops the baselines of routes that are not in `routes`.
     pub fn retain(&mut self, routes: &Routes) {
-        self.routes.retain(|name, _| routes.contains_route(name));
+        self.by_route.retain(|name, _| routes.contains_route(name));
     }
 }
 
-/// The end of a request's time, and what its caller still waits for after an elapsed time.
+/// Clock readings at which a request arrived and must end, and the time for which its caller waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Deadline {
     arrived: Duration,
-    caller: Duration,
+    caller_timeout: Duration,
     end: Duration,
 }
 
 impl Deadline {
-    /// Makes the deadline of a request that arrived at `arrived`.
+    /// Creates the deadline of a request that arrived at the clock reading `arrived`.
     ///
-    /// The request ends at the caller's deadline or at the route's timeout, whichever is sooner.
+    /// The request ends after `caller_timeout`, the time that the caller states, or after
+    /// `timeout`, the timeout of the route, whichever is shorter. A caller that states no time is
+    /// assumed to wait for the timeout of the route.
     ///
     /// ```
     /// use std::time::Duration;
@@ -77,9 +85,9 @@
     /// assert_eq!(deadline.end(), 3 * second);
     /// assert_eq!(deadline.remaining(2 * second), second);
     /// ```
-    pub fn new(arrived: Duration, caller: Option<Duration>, timeout: Duration) -> Self {
-        let caller = caller.unwrap_or(timeout);
-        Self { arrived, caller, end: arrived + caller.min(timeout) }
+    pub fn new(arrived: Duration, caller_timeout: Option<Duration>, timeout: Duration) -> Self {
+        let caller_timeout = caller_timeout.unwrap_or(timeout);
+        Self { arrived, caller_timeout, end: arrived + caller_timeout.min(timeout) }
     }
 
     /// Returns the clock reading at which the request ends.
@@ -97,10 +105,11 @@
         self.arrived
     }
 
-    /// Returns how long after a refusal a caller can still return and be answered in time.
+    /// Returns the longest time after which a caller that is refused now can come back and still be
+    /// answered in time.
     ///
-    /// A third of what the caller has left: it needs the rest for the repeat itself.
+    /// That is a third of the time that the caller has left: the retry itself needs the rest.
     pub fn latest_return(&self, now: Duration) -> Duration {
-        (self.arrived + self.caller).saturating_sub(now) / 3
+        (self.arrived + self.caller_timeout).saturating_sub(now) / 3
     }
 }
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg32;
 
 use crate::configuration::{Configuration, Route};
-use crate::deadline::UsualDeadlines;
+use crate::deadline::DeadlineBaselines;
 use crate::membership::Membership;
 use crate::placement::{Demand, Placement, PlacementSettings, place};
 use crate::retry::{BudgetSettings, RetryBudget};
@@ -40,7 +40,7 @@
     pools: HashMap<Arc<str>, Pool>,
     budget: RetryBudget,
     times: RouteTimes,
-    deadlines: UsualDeadlines,
+    deadlines: DeadlineBaselines,
     random: Pcg32,
     /// Times to connections to replicas.
     pub connect_times: ConnectTimes,
@@ -57,7 +57,7 @@
             pools: HashMap::new(),
             budget: RetryBudget::new(settings.budget),
             times: RouteTimes::default(),
-            deadlines: UsualDeadlines::default(),
+            deadlines: DeadlineBaselines::default(),
             random: Pcg32::seed_from_u64(seed),
             connect_times: ConnectTimes::default(),
             membership,
@@ -164,7 +164,7 @@
         // Those that were refused are back within what is left of their time.
         let refused_at = self.pools.get(service).and_then(|pool| pool.returns.refused_at());
         if refused_at.is_none_or(|refused_at| now.saturating_sub(refused_at) > deadline) {
-            self.deadlines.learn(route, deadline);
+            self.deadlines.observe(route, deadline);
         }
         self.deadlines.is_late(route, deadline)
     }
--- a/teaselworks_policy/tests/deadline.rs
+++ b/teaselworks_policy/tests/deadline.rs
@@ -1,34 +1,35 @@
-//! Which callers were refused before, by what is left of their time.
+//! Detection of late callers, which were refused before and came back, by the time they have left.
 
 use std::time::Duration;
 
 use teaselworks_policy::configuration::{Kind, Route};
-use teaselworks_policy::deadline::UsualDeadlines;
+use teaselworks_policy::deadline::DeadlineBaselines;
 
-/// Guards against callers with less patience than others who are taken for late ones, and refused
-/// first under load.
+/// Guards against treating a caller as late, and refusing it first under load, only because its
+/// total waiting time is shorter than that of other callers of the route.
 #[test]
-fn callers_who_wait_less_than_others_are_not_late() {
+fn callers_with_shorter_total_waits_are_not_late() {
     let route = Route::example(Kind::Stream, "/a/");
-    let mut deadlines = UsualDeadlines::default();
-    let patience = |number: u64| Duration::from_millis(8_500 + (number * 617) % 1_500);
+    let mut deadlines = DeadlineBaselines::default();
+    let caller_deadline = |number: u64| Duration::from_millis(8_500 + (number * 617) % 1_500);
     for number in 0..500 {
-        deadlines.learn(&route, patience(number));
+        deadlines.observe(&route, caller_deadline(number));
     }
     for number in 500..1_000 {
-        assert!(!deadlines.is_late(&route, patience(number)));
-        assert!(deadlines.is_late(&route, patience(number).mul_f64(0.7)));
+        assert!(!deadlines.is_late(&route, caller_deadline(number)));
+        assert!(deadlines.is_late(&route, caller_deadline(number).mul_f64(0.7)));
     }
 }
 
-/// Guards against one impatient caller after whom late ones are never told apart again.
+/// Guards against one unusually short deadline that keeps the baseline low for good, so that late
+/// callers are no longer detected.
 #[test]
-fn one_short_deadline_is_forgotten() {
+fn baseline_recovers_after_one_short_deadline() {
     let route = Route::example(Kind::Stream, "/a/");
-    let mut deadlines = UsualDeadlines::default();
-    deadlines.learn(&route, Duration::from_secs(1));
+    let mut deadlines = DeadlineBaselines::default();
+    deadlines.observe(&route, Duration::from_secs(1));
     for _ in 0..3_000 {
-        deadlines.learn(&route, Duration::from_secs(10));
+        deadlines.observe(&route, Duration::from_secs(10));
     }
     assert!(deadlines.is_late(&route, Duration::from_secs(7)));
 }
