--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -9,11 +9,11 @@
 
 use crate::configuration::{Configuration, Route};
 use crate::deadline::DeadlineBaselines;
+use crate::durations::RouteDurations;
 use crate::membership::Membership;
 use crate::placement::{Demand, Placement, PlacementSettings, place};
 use crate::retry::{BudgetSettings, RetryBudget};
 use crate::stop::{Arrival, StopPlan};
-use crate::times::RouteTimes;
 use crate::upstream::{
     Change, ConnectTimes, HeardOf, Incarnation, Judged, LoadReport, Pool, Sightings, Symptom,
     Upstream,
@@ -39,7 +39,7 @@
     configuration: Option<Arc<Configuration>>,
     pools: HashMap<Arc<str>, Pool>,
     budget: RetryBudget,
-    times: RouteTimes,
+    durations: RouteDurations,
     deadlines: DeadlineBaselines,
     random: Pcg32,
     /// Times to connections to replicas.
@@ -56,7 +56,7 @@
             configuration: None,
             pools: HashMap::new(),
             budget: RetryBudget::new(settings.budget),
-            times: RouteTimes::default(),
+            durations: RouteDurations::default(),
             deadlines: DeadlineBaselines::default(),
             random: Pcg32::seed_from_u64(seed),
             connect_times: ConnectTimes::default(),
@@ -83,7 +83,7 @@
         if in_force.is_some_and(|version| version >= configuration.version) {
             return false;
         }
-        self.times.retain(&configuration.routes);
+        self.durations.retain(&configuration.routes);
         self.deadlines.retain(&configuration.routes);
         for (service, pool) in &mut self.pools {
             pool.set_target(configuration.routes.shortest_target_latency(service));
@@ -137,18 +137,18 @@
         plan: &StopPlan,
         elapsed: Duration,
         route: &Arc<str>,
-        limit: Duration,
+        time_limit: Duration,
         latest_return: Duration,
     ) -> Result<(), Refusal> {
-        let usual = self.times.usual(route);
-        let others_serve = self.membership.most_are_listed();
-        let arrival = Arrival { limit, usual, latest_return, others_serve };
+        let duration_estimate = self.durations.duration_estimate(route);
+        let has_serving_peers = self.membership.most_are_listed();
+        let arrival = Arrival { time_limit, duration_estimate, latest_return, has_serving_peers };
         plan.admit(elapsed, &arrival, &mut self.random)
     }
 
     /// Takes the time from a request to the end of its answer.
     pub fn on_answered(&mut self, route: &Arc<str>, elapsed: Duration) {
-        self.times.add(route, elapsed);
+        self.durations.observe(route, elapsed);
     }
 
     /// Counts a request for a service; tells whether its caller was refused before and came back.
--- a/teaselworks_policy/src/lib.rs
+++ b/teaselworks_policy/src/lib.rs
@@ -1,16 +1,18 @@
-//! Decisions of a router as plain state: events and a clock reading go in, decisions come out.
+//! Routing decisions without input or output: plain state that takes events and clock readings and
+//! returns decisions.
 //!
-//! Nothing here reads a clock, a socket or a file, so that every decision can be replayed in a test.
+//! Only [`clock::SystemClock`] reads a clock, and nothing reads a socket or a file, so that tests
+//! can replay every decision.
 #![warn(clippy::disallowed_methods)]
 
 pub mod clock;
 pub mod configuration;
 pub mod deadline;
+pub mod durations;
 pub mod fleet;
 pub mod membership;
 pub mod placement;
 pub mod retry;
 pub mod stop;
-pub mod times;
 pub mod upstream;
 pub mod verdict;
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -1,52 +1,57 @@
-//! The phases of a planned stop, which cuts no request in progress.
+//! Phases of a graceful shutdown, and which requests a stopping router still accepts.
+//!
+//! A request that is accepted during a stop is expected to end before the process exits.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-use crate::times::UsualTimes;
+use crate::durations::DurationEstimate;
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Part of the grace period in which the router does not end, though it has nothing to do: the
-/// balancer still sends it callers until it has missed two answers.
-const TAKING_SHARE: f64 = 3.0 / 8.0;
-/// Time before the end of the grace period at which the process ends by itself, so that the last
-/// answers leave it before it is killed.
-const END_MARGIN: Duration = Duration::from_millis(250);
+/// Share of the grace period in which the router keeps running even when no request is in progress.
+/// The load balancer keeps sending it callers until two health checks have failed.
+const ACCEPTING_SHARE: f64 = 3.0 / 8.0;
+/// Time before the end of the grace period at which the process exits on its own, so that the last
+/// answers are sent before it is killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
-/// What a stopping router does at a moment.
+/// Phase of a stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// It reports that it is not ready and asks callers to reconnect elsewhere.
+    /// The router reports that it is not ready and asks callers to reconnect elsewhere, but still
+    /// accepts requests.
     Accepting,
-    /// It closes idle connections, and ends when nothing is in progress.
+    /// The router closes idle connections, and exits as soon as no request is in progress.
     Finishing,
-    /// It ends.
+    /// The process exits.
     Ended,
 }
 
 /// A request that arrives at a stopping router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Arrival {
-    /// Time after which it ends in any case.
-    pub limit: Duration,
-    /// How long requests of its route take, where some have ended.
-    pub usual: Option<UsualTimes>,
-    /// Longest time after which its caller can still come back.
+    /// Time left until the deadline of the request, at which it ends in any case.
+    pub time_limit: Duration,
+    /// How long requests of its route take; `None` while none has ended.
+    pub duration_estimate: Option<DurationEstimate>,
+    /// Longest time after which its caller can still come back and be answered in time.
     pub latest_return: Duration,
-    /// Most other routers serve, so that the caller's next one likely does.
-    pub others_serve: bool,
+    /// Most other routers are serving, so that a caller that reconnects likely reaches one of them.
+    pub has_serving_peers: bool,
 }
 
-/// Times of a planned stop.
+/// Schedule of a stop, as times since it began.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopPlan {
-    taking: Duration,
-    end: Duration,
+    /// End of [`Phase::Accepting`].
+    accepting_until: Duration,
+    /// Time at which the process exits, even with requests in progress.
+    exit_at: Duration,
 }
 
 impl StopPlan {
-    /// Makes the plan for a grace period, after which the process is killed.
+    /// Creates the schedule for a grace period, at the end of which the process is killed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,24 +63,36 @@
     /// assert_eq!(plan.phase(Duration::from_secs(4), 0), Phase::Ended);
     /// ```
     pub fn new(grace: Duration) -> Self {
-        Self { taking: grace.mul_f64(TAKING_SHARE), end: grace.saturating_sub(END_MARGIN) }
+        Self {
+            accepting_until: grace.mul_f64(ACCEPTING_SHARE),
+            exit_at: grace.saturating_sub(EXIT_MARGIN),
+        }
     }
 
-    /// Tells whether a request that arrives at a time since the stop began will be done before the
-    /// router ends; the refusal of one that would be cut tells when another router is likelier.
+    /// Admits a request that arrives at the time `elapsed` since the stop began if it is expected
+    /// to end before the process exits.
+    ///
+    /// Refuses it otherwise. The refusal's `retry_after` is zero where most other routers are
+    /// serving. Otherwise it is a random time between half and all of the time until the process is
+    /// killed, or until `latest_return` if that is shorter: by then another router is more likely
+    /// to be serving.
     ///
     /// ```
     /// use std::time::Duration;
     /// use rand::SeedableRng;
     /// use teaselworks_policy::stop::{Arrival, StopPlan};
-    /// use teaselworks_policy::times::UsualTimes;
+    /// use teaselworks_policy::durations::DurationEstimate;
     ///
     /// let second = Duration::from_secs(1);
     /// let mut random = rand_pcg::Pcg32::seed_from_u64(1);
     /// let plan = StopPlan::new(8 * second);
-    /// let usual = Some(UsualTimes { most: second, longest: Some(second) });
-    /// let arrival =
-    ///     Arrival { limit: 9 * second, usual, latest_return: second, others_serve: false };
+    /// let duration_estimate = Some(DurationEstimate { typical: second, longest: Some(second) });
+    /// let arrival = Arrival {
+    ///     time_limit: 9 * second,
+    ///     duration_estimate,
+    ///     latest_return: second,
+    ///     has_serving_peers: false,
+    /// };
     /// assert!(plan.admit(6 * second, &arrival, &mut random).is_ok());
     /// assert!(plan.admit(7 * second, &arrival, &mut random).is_err());
     /// ```
@@ -85,30 +102,32 @@
         arrival: &Arrival,
         random: &mut impl Rng,
     ) -> Result<(), Refusal> {
-        let left = self.end.saturating_sub(elapsed);
-        // Until the balancer has turned away, an early request is better served with some risk than
-        // refused; a later one must not be cut.
-        let needed = match arrival.usual {
-            Some(usual) if elapsed < self.taking => usual.most,
-            Some(UsualTimes { longest: Some(longest), .. }) => longest,
-            None if elapsed < self.taking => Duration::ZERO,
-            Some(_) | None => arrival.limit,
+        let time_left = self.exit_at.saturating_sub(elapsed);
+        // While the load balancer still sends callers here, a request is accepted if a typical one
+        // of its route ends in time: the risk of cutting it off is better than a certain refusal.
+        // Later, a request is accepted only if the longest one of its route ends in time.
+        let required_time = match arrival.duration_estimate {
+            Some(estimate) if elapsed < self.accepting_until => estimate.typical,
+            Some(DurationEstimate { longest: Some(longest), .. }) => longest,
+            None if elapsed < self.accepting_until => Duration::ZERO,
+            Some(_) | None => arrival.time_limit,
         };
-        if needed.min(arrival.limit) <= left {
+        if required_time.min(arrival.time_limit) <= time_left {
             return Ok(());
         }
-        let wait = if arrival.others_serve { Duration::ZERO } else { left + END_MARGIN };
-        let spread = random.random_range(0.5..1.0);
-        let retry_after = wait.min(arrival.latest_return).mul_f64(spread);
+        let wait = if arrival.has_serving_peers { Duration::ZERO } else { time_left + EXIT_MARGIN };
+        let jitter = random.random_range(0.5..1.0);
+        let retry_after = wait.min(arrival.latest_return).mul_f64(jitter);
         Err(Refusal::not_run(RefusalReason::Stopping, Some(retry_after)))
     }
 
-    /// Returns the phase at a time since the stop began, with so many requests in progress.
+    /// Returns the phase at the time `elapsed` since the stop began, with `in_progress` requests in
+    /// progress.
     pub fn phase(&self, elapsed: Duration, in_progress: usize) -> Phase {
-        if elapsed < self.taking {
+        if elapsed < self.accepting_until {
             return Phase::Accepting;
         }
-        if elapsed >= self.end || in_progress == 0 {
+        if elapsed >= self.exit_at || in_progress == 0 {
             return Phase::Ended;
         }
         Phase::Finishing
--- a/teaselworks_policy/tests/stop.rs
+++ b/teaselworks_policy/tests/stop.rs
@@ -1,24 +1,25 @@
-//! The phases of a planned stop.
+//! Phases of a stop, and which requests a stopping router accepts.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
+use teaselworks_policy::durations::DurationEstimate;
 use teaselworks_policy::stop::{Arrival, Phase, StopPlan};
-use teaselworks_policy::times::UsualTimes;
 use teaselworks_policy::verdict::RefusalReason;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn arrival(time: Duration, others_serve: bool) -> Arrival {
-    let usual = Some(UsualTimes { most: time, longest: Some(time) });
-    Arrival { limit: 12 * SECOND, usual, latest_return: SECOND, others_serve }
+fn arrival(time: Duration, has_serving_peers: bool) -> Arrival {
+    let duration_estimate = Some(DurationEstimate { typical: time, longest: Some(time) });
+    Arrival { time_limit: 12 * SECOND, duration_estimate, latest_return: SECOND, has_serving_peers }
 }
 
-/// Guards against refusals of short requests while every router stops, a second after each other.
+/// Guards against refusing short requests during a rolling stop in which all routers stop, one
+/// second after another, so that callers find no router that accepts them.
 #[test]
-fn a_short_request_is_served_until_shortly_before_the_end() {
+fn short_requests_are_admitted_until_shortly_before_the_exit() {
     let plan = StopPlan::new(8 * SECOND);
     let mut random = Pcg32::seed_from_u64(1);
     let short = arrival(SECOND / 5, false);
@@ -28,57 +29,64 @@
     assert!(plan.admit(SECOND * 77 / 10, &short, &mut random).is_err());
 }
 
-/// Guards against callers that are sent from one stopping router to another.
+/// Guards against callers that are sent from one stopping router to another: they must be told to
+/// wait, unless most other routers are serving.
 #[test]
-fn who_is_refused_returns_when_another_router_is_likelier() {
+fn refused_callers_retry_when_another_router_likely_serves() {
     let plan = StopPlan::new(8 * SECOND);
     let mut random = Pcg32::seed_from_u64(1);
-    let mut retry_after = |others_serve| {
-        let long = arrival(6 * SECOND, others_serve);
+    let mut retry_after = |has_serving_peers| {
+        let long = arrival(6 * SECOND, has_serving_peers);
         plan.admit(5 * SECOND, &long, &mut random).unwrap_err().retry_after.unwrap()
     };
     assert_eq!(retry_after(true), Duration::ZERO);
     assert!(retry_after(false) >= SECOND / 2);
 }
 
-/// Guards against a stream that is taken late in a stop because most like it are short, and is cut.
+/// Guards against a long stream that is accepted late in a stop because typical streams of its
+/// route are short, and is then cut off.
 #[test]
-fn late_in_a_stop_only_what_surely_ends_is_taken() {
+fn late_requests_are_admitted_by_the_longest_duration() {
     let plan = StopPlan::new(8 * SECOND);
     let mut random = Pcg32::seed_from_u64(1);
-    let usual = Some(UsualTimes { most: SECOND, longest: Some(5 * SECOND) });
-    let stream = Arrival { usual, ..arrival(SECOND, false) };
+    let duration_estimate = Some(DurationEstimate { typical: SECOND, longest: Some(5 * SECOND) });
+    let stream = Arrival { duration_estimate, ..arrival(SECOND, false) };
     assert!(plan.admit(SECOND * 29 / 10, &stream, &mut random).is_ok());
     assert!(plan.admit(SECOND * 31 / 10, &stream, &mut random).is_err());
-    let unknown = Arrival { usual: None, ..stream };
+    let unknown = Arrival { duration_estimate: None, ..stream };
     assert!(plan.admit(SECOND, &unknown, &mut random).is_ok());
     assert!(plan.admit(SECOND * 31 / 10, &unknown, &mut random).is_err());
 }
 
 proptest! {
-    /// Guards against a request that is taken though it will be cut, and one that is refused though
-    /// it would not be.
+    /// Guards against accepting a request that will be cut off, and against refusing one that would
+    /// end in time.
     #[test]
-    fn what_is_taken_is_done_before_the_end(
+    fn admitted_requests_end_before_the_exit(
         grace_ms in 1_000_u64..60_000,
         elapsed in 0.0..1.2_f64,
         limit_ms in 0_u64..60_000,
-        usual_ms in 0_u64..60_000,
+        typical_ms in 0_u64..60_000,
         return_ms in 0_u64..4_000,
-        others_serve in any::<bool>(),
+        has_serving_peers in any::<bool>(),
     ) {
         let grace = Duration::from_millis(grace_ms);
         let plan = StopPlan::new(grace);
-        let [limit, usual, latest_return] =
-            [limit_ms, usual_ms, return_ms].map(Duration::from_millis);
-        let times = UsualTimes { most: usual, longest: Some(usual) };
-        let arrival = Arrival { limit, usual: Some(times), latest_return, others_serve };
+        let [time_limit, typical, latest_return] =
+            [limit_ms, typical_ms, return_ms].map(Duration::from_millis);
+        let estimate = DurationEstimate { typical, longest: Some(typical) };
+        let arrival = Arrival {
+            time_limit,
+            duration_estimate: Some(estimate),
+            latest_return,
+            has_serving_peers,
+        };
         let elapsed = grace.mul_f64(elapsed);
-        let done = elapsed + limit.min(usual);
+        let expected_end = elapsed + time_limit.min(typical);
         match plan.admit(elapsed, &arrival, &mut Pcg32::seed_from_u64(grace_ms)) {
-            Ok(()) => prop_assert!(done < grace || limit.min(usual).is_zero()),
+            Ok(()) => prop_assert!(expected_end < grace || time_limit.min(typical).is_zero()),
             Err(refusal) => {
-                prop_assert!(done + Duration::from_millis(300) > grace);
+                prop_assert!(expected_end + Duration::from_millis(300) > grace);
                 prop_assert_eq!(refusal.reason, RefusalReason::Stopping);
                 prop_assert_eq!(refusal.http_status(), 503);
                 prop_assert!(refusal.retry_after.unwrap() <= latest_return);
@@ -86,7 +94,8 @@
         }
     }
 
-    /// Guards against a router that is killed in the middle of answers, or ends too early.
+    /// Guards against a router that is killed while it sends answers, and against one that exits
+    /// while requests are in progress.
     #[test]
     fn phases_follow_in_order_and_end_before_the_kill(
         grace_ms in 1_000_u64..60_000,
@@ -99,14 +108,14 @@
             Phase::Finishing => 1,
             Phase::Ended => 2,
         };
-        let mut before = 0;
+        let mut previous = 0;
         for step in 0..=200_u32 {
             let elapsed = grace * step / 200;
             let phase = order(plan.phase(elapsed, in_progress));
-            prop_assert!(phase >= before);
-            before = phase;
+            prop_assert!(phase >= previous);
+            previous = phase;
         }
-        prop_assert_eq!(before, 2);
+        prop_assert_eq!(previous, 2);
         prop_assert_eq!(plan.phase(grace * 5 / 8, 0), Phase::Ended);
     }
 }
