--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -141,7 +141,7 @@
         latest_return: Duration,
     ) -> Result<(), Refusal> {
         let duration_estimate = self.durations.duration_estimate(route);
-        let has_serving_peers = self.membership.most_are_listed();
+        let has_serving_peers = self.membership.are_most_peers_listed();
         let arrival = Arrival { time_limit, duration_estimate, latest_return, has_serving_peers };
         plan.admit(elapsed, &arrival, &mut self.random)
     }
@@ -171,7 +171,7 @@
 
     /// Takes one repeat from the retry budget; false where it is spent.
     pub fn try_take_retry(&mut self, now: Duration, service: &Arc<str>) -> bool {
-        self.budget.try_take(now, service, self.membership.live())
+        self.budget.try_take(now, service, self.membership.live_count())
     }
 
     /// Chooses a replica and counts the request there; [`Fleet::on_attempt_end`] takes it off.
@@ -183,7 +183,7 @@
     ) -> Result<Placement, Refusal> {
         let settings = PlacementSettings {
             capacity_factor: self.settings.load_factor,
-            routers: self.membership.live(),
+            routers: self.membership.live_count(),
         };
         let Some(pool) = self.pools.get_mut(service) else {
             return Err(Refusal::not_run(RefusalReason::NoReplica, Some(UNKNOWN_RETURN)));
@@ -265,7 +265,7 @@
 
     /// Takes how long a request waited for the first byte of its answer.
     pub fn on_first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
-        let routers = self.membership.live();
+        let routers = self.membership.live_count();
         if let Some(pool) = self.pools.get_mut(service) {
             pool.first_byte(now, waited, routers);
         }
--- a/teaselworks_policy/src/membership.rs
+++ b/teaselworks_policy/src/membership.rs
@@ -1,4 +1,5 @@
-//! The other routers: which are alive, and whom to ask when the platform does not answer.
+//! The other routers of the fleet: which are registered, which of them read the store for the rest,
+//! and which to ask when the store does not answer.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,75 +9,84 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Time for which a router that is no longer listed is still asked: its lease may have lapsed only
-/// because it, too, cannot reach the platform.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time for which a router that is no longer registered is still asked. Its lease may have expired
+/// only because it cannot reach the store either.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
+/// A router that is registered in the store, or was until recently.
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
+    /// Clock reading at which its registration ended; `None` while it is registered.
     unlisted_since: Option<Duration>,
 }
 
-/// Routers that read the store for all others in a large fleet: one may be killed and one cut off
-/// while another one reads.
-const READERS: usize = 4;
-/// Largest fleet in which every router reads the store itself. What it costs grows with the square
-/// of the fleet, as there are more changes, too, and each wakes every reader.
-const ALL_READ: u32 = 12;
-
-/// Pause of a router after a call to a store that does not answer: what is missed meanwhile comes from
-/// other routers.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause for each router of the fleet where others read for this one: together they may not call a
-/// busy store as often as they would a healthy one.
-const RETRY_PAUSE_PER_ROUTER: Duration = Duration::from_millis(25);
-
-/// Routers that registered themselves, and the addresses known from the settings.
+/// Number of routers that read the store for all others in a large fleet. With this many, some
+/// still read while one is killed and another one is partitioned from the store.
+const STORE_READERS: usize = 4;
+/// Largest number of routers with which every router reads the store itself. The cost grows with
+/// the square of the number of routers: more routers cause more changes, and each change wakes
+/// every reader.
+const DIRECT_READ_MAX_ROUTERS: u32 = 12;
+
+/// Shortest pause of a router after a call that the store did not answer. Other routers deliver the
+/// changes that are missed meanwhile.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Pause per router of the fleet, for routers that do not usually read the store themselves. It
+/// limits the total rate at which the fleet calls an overloaded store to less than what a healthy
+/// store gets.
+const STORE_RETRY_PAUSE_PER_ROUTER: Duration = Duration::from_millis(25);
+
+/// One router's view of the fleet: the routers that are registered in the store, and the seed
+/// addresses from the settings.
 #[derive(Debug, Default)]
 pub struct Membership {
-    own: Arc<str>,
+    own_name: Arc<str>,
     peers: BTreeMap<Arc<str>, Peer>,
     seeds: Vec<SocketAddr>,
 }
 
 impl Membership {
-    /// Makes the view of a router that knows only addresses of its settings.
+    /// Creates the view of the router `own_name`, which knows only the seed addresses.
     ///
     /// ```
     /// use teaselworks_policy::membership::Membership;
     ///
     /// let membership = Membership::new("a".into(), vec![([127, 0, 0, 1], 80).into()]);
-    /// assert_eq!(membership.live(), 1);
+    /// assert_eq!(membership.live_count(), 1);
     /// assert_eq!(membership.addresses().len(), 1);
     /// ```
-    pub fn new(own: Arc<str>, seeds: Vec<SocketAddr>) -> Self {
-        Self { own, peers: BTreeMap::new(), seeds }
+    pub fn new(own_name: Arc<str>, seeds: Vec<SocketAddr>) -> Self {
+        Self { own_name, peers: BTreeMap::new(), seeds }
     }
 
-    /// Changes the addresses known from the settings.
+    /// Replaces the seed addresses, which come from the settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Notes a registered router; tells whether it was not listed before.
+    /// Adds a registered router or updates its address; returns whether it was not registered
+    /// before.
     pub fn put(&mut self, name: Arc<str>, address: SocketAddr) -> bool {
-        let before = self.peers.insert(name, Peer { address, unlisted_since: None });
-        before.is_none_or(|peer| peer.unlisted_since.is_some())
+        let previous = self.peers.insert(name, Peer { address, unlisted_since: None });
+        previous.is_none_or(|peer| peer.unlisted_since.is_some())
     }
 
-    /// Notes that a router is not registered any more; tells whether it was.
+    /// Marks a router as no longer registered; returns whether it was registered.
+    ///
+    /// Also drops routers whose registration ended [`UNLISTED_RETENTION`] or longer ago.
     pub fn remove(&mut self, now: Duration, name: &str) -> bool {
         let Some(peer) = self.peers.get_mut(name) else { return false };
         let was_listed = peer.unlisted_since.is_none();
         peer.unlisted_since.get_or_insert(now);
         self.peers.retain(|_, peer| {
-            peer.unlisted_since.is_none_or(|since| now.saturating_sub(since) < REMEMBERED)
+            peer.unlisted_since.is_none_or(|since| now.saturating_sub(since) < UNLISTED_RETENTION)
         });
         was_listed
     }
 
-    /// Notes which routers are registered; returns those that are not any more.
+    /// Replaces the set of registered routers by a complete list; returns the names of those that
+    /// are no longer registered.
     pub fn replace(&mut self, now: Duration, list: Vec<(Arc<str>, SocketAddr)>) -> Vec<Arc<str>> {
         let mut lost = Vec::new();
         let known: Vec<Arc<str>> = self.peers.keys().cloned().collect();
@@ -93,37 +103,42 @@
     }
 
     /// Returns the number of registered routers, this one included.
-    pub fn live(&self) -> u32 {
+    pub fn live_count(&self) -> u32 {
         let others = self
             .peers
             .iter()
-            .filter(|(name, peer)| **name != self.own && peer.unlisted_since.is_none())
+            .filter(|(name, peer)| **name != self.own_name && peer.unlisted_since.is_none())
             .count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Tells whether at least half of the other routers that were registered lately still are. One
-    /// that stops ends its registration as it begins to.
+    /// Returns whether at least half of the other routers that are remembered are still registered;
+    /// false where there is no other router.
+    ///
+    /// A router that stops ends its registration at the beginning of the stop.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks_policy::membership::Membership;
     ///
     /// let mut membership = Membership::new("a".into(), Vec::new());
-    /// assert!(!membership.most_are_listed(), "there is no other");
+    /// assert!(!membership.are_most_peers_listed(), "there is no other router");
     /// membership.put("b".into(), ([127, 0, 0, 1], 80).into());
-    /// assert!(membership.most_are_listed());
+    /// assert!(membership.are_most_peers_listed());
     /// membership.remove(Duration::ZERO, "b");
-    /// assert!(!membership.most_are_listed());
+    /// assert!(!membership.are_most_peers_listed());
     /// ```
-    pub fn most_are_listed(&self) -> bool {
-        let others = self.peers.iter().filter(|(name, _)| **name != self.own);
+    pub fn are_most_peers_listed(&self) -> bool {
+        let others = self.peers.iter().filter(|(name, _)| **name != self.own_name);
         let (listed, unlisted): (Vec<_>, Vec<_>) =
             others.partition(|(_, peer)| peer.unlisted_since.is_none());
         !listed.is_empty() && listed.len() >= unlisted.len()
     }
 
-    /// Returns the pause after a call to a store that does not answer, at most `longest`.
+    /// Returns the pause after a call that the store did not answer.
+    ///
+    /// A router that reads the store itself pauses for 300 ms. For the others the pause grows with
+    /// the number of routers, up to `longest` and never below 300 ms.
     ///
     /// ```
     /// use std::time::Duration;
@@ -134,14 +149,17 @@
     /// ```
     pub fn retry_pause(&self, longest: Duration) -> Duration {
         if self.reader().is_none() {
-            return RETRY_PAUSE;
+            return STORE_RETRY_PAUSE;
         }
-        (RETRY_PAUSE_PER_ROUTER * self.live()).min(longest).max(RETRY_PAUSE)
+        (STORE_RETRY_PAUSE_PER_ROUTER * self.live_count()).min(longest).max(STORE_RETRY_PAUSE)
     }
 
-    /// Returns the router that reads the store for this one; `None` where it reads the store itself.
+    /// Returns the address of the router that reads the store for this one; `None` where this
+    /// router reads the store itself.
     ///
-    /// All routers order the fleet in the same way, so that nothing is agreed on.
+    /// All routers rank the fleet by the same hash of the names, so they choose the same readers
+    /// without coordination. The routers that do not read are spread over the readers by a second
+    /// hash, which includes their own name.
     ///
     /// ```
     /// use teaselworks_policy::membership::Membership;
@@ -151,37 +169,38 @@
     /// for number in 0..40 {
     ///     membership.put(format!("router-{number}").into(), ([127, 0, 0, 1], 80).into());
     /// }
-    /// assert!(membership.live() == 40);
+    /// assert!(membership.live_count() == 40);
     /// ```
     pub fn reader(&self) -> Option<SocketAddr> {
-        if self.live() <= ALL_READ {
+        if self.live_count() <= DIRECT_READ_MAX_ROUTERS {
             return None;
         }
         let listed = self.peers.iter().filter(|(_, peer)| peer.unlisted_since.is_none());
-        let mut ranked: Vec<(&Arc<str>, &Peer)> = listed.collect();
-        ranked.sort_by_cached_key(|(name, _)| Reverse(xxh3_64(name.as_bytes())));
-        ranked.truncate(READERS);
-        if ranked.iter().any(|(name, _)| **name == self.own) {
+        let mut readers: Vec<(&Arc<str>, &Peer)> = listed.collect();
+        readers.sort_by_cached_key(|(name, _)| Reverse(xxh3_64(name.as_bytes())));
+        readers.truncate(STORE_READERS);
+        if readers.iter().any(|(name, _)| **name == self.own_name) {
             return None;
         }
-        let nearest = ranked.into_iter().max_by_key(|(name, _)| {
-            xxh3_64_with_seed(name.as_bytes(), xxh3_64(self.own.as_bytes()))
+        let assigned = readers.into_iter().max_by_key(|(name, _)| {
+            xxh3_64_with_seed(name.as_bytes(), xxh3_64(self.own_name.as_bytes()))
         });
-        nearest.map(|(_, peer)| peer.address)
+        assigned.map(|(_, peer)| peer.address)
     }
 
-    /// Returns the addresses to ask, those of registered routers first.
+    /// Returns the addresses of the other routers in the order in which to ask them: registered
+    /// routers, those no longer registered, then the seed addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
-        let own = self.peers.get(&self.own).map(|peer| peer.address);
-        let others = self.peers.iter().filter(|(name, _)| **name != self.own);
+        let own_address = self.peers.get(&self.own_name).map(|peer| peer.address);
+        let others = self.peers.iter().filter(|(name, _)| **name != self.own_name);
         let (listed, unlisted): (Vec<_>, Vec<_>) =
             others.partition(|(_, peer)| peer.unlisted_since.is_none());
         for (_, peer) in listed.into_iter().chain(unlisted) {
             addresses.push(peer.address);
         }
         for seed in &self.seeds {
-            if Some(*seed) != own && !addresses.contains(seed) {
+            if Some(*seed) != own_address && !addresses.contains(seed) {
                 addresses.push(*seed);
             }
         }
--- a/teaselworks_policy/tests/membership.rs
+++ b/teaselworks_policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Whom a router counts and whom it asks.
+//! Which routers a router counts as alive, asks for changes, and lets read the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,22 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// Guards against a router with nobody to ask, since registrations lapsed in an outage.
+/// Guards against a router that has no other router to ask, because all registrations expired
+/// during an outage of the store.
 #[test]
-fn routers_whose_lease_lapsed_are_still_asked_but_not_counted() {
+fn routers_with_expired_lease_are_asked_but_not_counted() {
     let mut membership = Membership::new("a".into(), vec![address(1)]);
     membership.put("a".into(), address(1));
     membership.put("b".into(), address(2));
-    assert_eq!(membership.live(), 2);
+    assert_eq!(membership.live_count(), 2);
     assert!(membership.remove(Duration::from_secs(5), "b"));
-    assert_eq!(membership.live(), 1);
-    assert_eq!(membership.addresses(), [address(2)], "itself is not asked");
+    assert_eq!(membership.live_count(), 1);
+    assert_eq!(membership.addresses(), [address(2)], "a router must not ask itself");
 }
 
+/// Guards against a list of routers that grows with every router that is replaced.
 #[test]
-fn routers_that_were_lost_long_ago_are_forgotten() {
+fn routers_unlisted_for_a_minute_are_dropped() {
     let mut membership = Membership::new("a".into(), Vec::new());
     membership.put("b".into(), address(2));
     membership.put("c".into(), address(3));
@@ -31,16 +33,19 @@
     assert_eq!(membership.addresses(), [address(3)]);
 }
 
+/// Guards against a router that is still counted after it disappeared while changes were missed: a
+/// complete list must give the routers that it lacks.
 #[test]
-fn a_list_read_whole_tells_who_is_lost() {
+fn replacing_the_list_returns_the_routers_that_left() {
     let mut membership = Membership::new("a".into(), vec![address(9)]);
     membership.put("b".into(), address(2));
     let lost = membership.replace(Duration::ZERO, vec![("c".into(), address(3))]);
     assert_eq!(lost, ["b".into()]);
-    assert_eq!(membership.live(), 2);
+    assert_eq!(membership.live_count(), 2);
     assert_eq!(membership.addresses(), [address(3), address(2), address(9)]);
 }
 
+/// Returns the views of all routers of a fleet in which every router is registered.
 fn fleet(routers: u16) -> Vec<Membership> {
     let list: Vec<_> =
         (0..routers).map(|n| (format!("router-{n}").into(), address(1_000 + n))).collect();
@@ -53,30 +58,33 @@
     fleet
 }
 
-/// Guards against calls to the store that grow with the square of the fleet.
+/// Guards against a load on the store that grows with the square of the number of routers: in a
+/// large fleet only four routers may read the store, and all routers must agree on which.
 #[test]
-fn a_few_routers_read_for_a_large_fleet_and_all_know_which() {
+fn four_routers_read_the_store_for_a_large_fleet() {
     let fleet = fleet(73);
-    let followers: Vec<SocketAddr> = fleet.iter().filter_map(Membership::reader).collect();
-    assert_eq!(followers.len(), 73 - 4);
-    let mut readers = followers.clone();
+    let assigned_readers: Vec<SocketAddr> = fleet.iter().filter_map(Membership::reader).collect();
+    assert_eq!(assigned_readers.len(), 73 - 4);
+    let mut readers = assigned_readers.clone();
     readers.sort();
     readers.dedup();
-    assert_eq!(readers.len(), 4, "followers are spread over the readers");
+    assert_eq!(readers.len(), 4, "each reader serves at least one other router");
     for (number, router) in fleet.iter().enumerate() {
         let is_reader = readers.contains(&address(1_000 + number as u16));
         assert_eq!(router.reader().is_none(), is_reader);
     }
 }
 
+/// Guards against routers of a small fleet that depend on each other for changes in the store.
 #[test]
-fn every_router_of_a_small_fleet_reads() {
+fn every_router_of_a_small_fleet_reads_the_store() {
     assert!(fleet(12).iter().all(|router| router.reader().is_none()));
 }
 
-/// Guards against a large fleet whose routers all call a store that is busy, several times a second.
+/// Guards against a large fleet in which every router retries calls to an overloaded store several
+/// times a second.
 #[test]
-fn a_large_fleet_calls_a_busy_store_rarely() {
+fn store_retry_rate_is_bounded_in_a_large_fleet() {
     let longest = Duration::from_secs(10);
     for size in [30_u32, 70, 300] {
         let mut calls_per_s = 0.0;
