--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -1,4 +1,8 @@
-//! What one router believes about the fleet, and the decisions that rest on it.
+//! The state that one router keeps about the fleet, and the routing decisions based on it.
+//!
+//! A replica is one upstream of a service. Several routers serve the same replicas, so a router
+//! knows the load and health of a replica only from its own requests, from the replica's load
+//! reports and from what other routers share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,19 +24,19 @@
 };
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Time after which a caller of a service without any replica comes back.
-const UNKNOWN_RETURN: Duration = Duration::from_millis(300);
+/// Time after which a caller should retry where the service has no known replica.
+const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Bounds that decisions keep.
+/// Configurable bounds on load and retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Multiple of the mean load of a service that no replica should exceed.
+    /// Bound on the load of a replica, as a multiple of the mean load of its service.
     pub load_factor: f64,
-    /// Bound on repeats over all routers.
+    /// Budget for retries, summed over all routers.
     pub budget: BudgetSettings,
 }
 
-/// State behind the decisions of one router.
+/// State from which one router makes its decisions.
 #[derive(Debug)]
 pub struct Fleet {
     settings: FleetSettings,
@@ -42,14 +46,15 @@
     durations: RouteDurations,
     deadlines: DeadlineBaselines,
     random: Pcg32,
-    /// Times to connections to replicas.
+    /// How long it takes to open connections to replicas.
     pub connect_times: ConnectTimes,
-    /// The other routers.
+    /// The other routers of the fleet.
     pub membership: Membership,
 }
 
 impl Fleet {
-    /// Makes the state of a router that knows nothing yet; `seed` sets its random choices.
+    /// Creates the state of a router that has no configuration and no replicas yet; `seed` seeds
+    /// its random choices.
     pub fn new(settings: FleetSettings, membership: Membership, seed: u64) -> Self {
         Self {
             settings,
@@ -64,23 +69,24 @@
         }
     }
 
-    /// Changes the bounds.
+    /// Replaces the bounds on load and retries.
     pub fn set_settings(&mut self, settings: FleetSettings) {
         self.settings = settings;
         self.budget.set_settings(settings.budget);
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration, if one is known.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.clone()
     }
 
-    /// Puts a configuration in force; false where the one in force is as new.
+    /// Activates a configuration; returns false, and changes nothing, where the active one has the
+    /// same or a higher version.
     ///
-    /// Another router or a slow answer of the store may bring an older one.
+    /// Another router or a delayed response of the store may deliver an older configuration.
     pub fn set_configuration(&mut self, configuration: Configuration) -> bool {
-        let in_force = self.configuration.as_ref().map(|configuration| configuration.version);
-        if in_force.is_some_and(|version| version >= configuration.version) {
+        let active_version = self.configuration.as_ref().map(|configuration| configuration.version);
+        if active_version.is_some_and(|version| version >= configuration.version) {
             return false;
         }
         self.durations.retain(&configuration.routes);
@@ -92,10 +98,10 @@
         true
     }
 
-    /// Applies a change of the list of upstreams.
+    /// Applies a change in the list of upstreams to the pools.
     pub fn apply(&mut self, change: &Change) {
         match change {
-            Change::Serving(upstream) | Change::Restarted(upstream) => self.put(upstream),
+            Change::Serving(upstream) | Change::Restarted(upstream) => self.put_replica(upstream),
             Change::Suspended(id) => self.pools.values_mut().for_each(|pool| pool.suspend(id)),
             Change::Draining(id) => self.pools.values_mut().for_each(|pool| pool.set_draining(id)),
             Change::Missing(_) | Change::Stale(_) => {}
@@ -103,8 +109,9 @@
         }
     }
 
-    /// Moves a replica to the service that it names now.
-    fn put(&mut self, upstream: &Upstream) {
+    /// Adds or updates a replica in the pool of its service, and removes it from other pools in
+    /// case its service has changed.
+    fn put_replica(&mut self, upstream: &Upstream) {
         for (service, pool) in &mut self.pools {
             if *service != upstream.service {
                 pool.remove(&upstream.id);
@@ -118,20 +125,24 @@
         pool.put(upstream.clone());
     }
 
-    /// Tells whether requests can be served: a configuration and a replica of one of its services
-    /// are known.
+    /// Returns whether requests can be served: a configuration is active, and at least one of its
+    /// services has a replica.
     pub fn is_ready(&self) -> bool {
         let Some(configuration) = &self.configuration else { return false };
         let mut services = configuration.services.keys();
         services.any(|name| self.pool(name).is_some_and(|pool| !pool.members().is_empty()))
     }
 
-    /// Returns the replicas of a service.
+    /// Returns the pool of a service's replicas.
     pub fn pool(&self, service: &str) -> Option<&Pool> {
         self.pools.get(service)
     }
 
-    /// Tells whether a stopping router will be done with a request in time.
+    /// Admits a request at a stopping router if it is expected to end before the process exits, or
+    /// refuses it.
+    ///
+    /// `elapsed` is the time since the stop began, `time_limit` the time left until the request's
+    /// deadline, and `latest_return` the longest time after which its caller can still come back.
     pub fn admit_while_stopping(
         &mut self,
         plan: &StopPlan,
@@ -146,12 +157,13 @@
         plan.admit(elapsed, &arrival, &mut self.random)
     }
 
-    /// Takes the time from a request to the end of its answer.
+    /// Records the time from the arrival of a request to the end of its answer.
     pub fn on_answered(&mut self, route: &Arc<str>, elapsed: Duration) {
         self.durations.observe(route, elapsed);
     }
 
-    /// Counts a request for a service; tells whether its caller was refused before and came back.
+    /// Counts a request for a service; returns whether its caller is late: it was refused before
+    /// and came back. `deadline` is the time that the caller states to have left.
     pub fn on_request(
         &mut self,
         now: Duration,
@@ -161,7 +173,8 @@
     ) -> bool {
         self.budget.on_request(now, service);
         let Some(deadline) = deadline else { return false };
-        // Those that were refused are back within what is left of their time.
+        // A refused caller comes back before its deadline. A deadline is therefore known to belong
+        // to a first attempt only if the last refusal is longer ago than the deadline is long.
         let refused_at = self.pools.get(service).and_then(|pool| pool.returns.refused_at());
         if refused_at.is_none_or(|refused_at| now.saturating_sub(refused_at) > deadline) {
             self.deadlines.observe(route, deadline);
@@ -169,12 +182,13 @@
         self.deadlines.is_late(route, deadline)
     }
 
-    /// Takes one repeat from the retry budget; false where it is spent.
+    /// Takes one retry from the retry budget of a service; returns false where it is spent.
     pub fn try_take_retry(&mut self, now: Duration, service: &Arc<str>) -> bool {
         self.budget.try_take(now, service, self.membership.live_count())
     }
 
-    /// Chooses a replica and counts the request there; [`Fleet::on_attempt_end`] takes it off.
+    /// Chooses a replica for a request and counts the request as in progress there, until
+    /// [`Fleet::on_attempt_end`] is called.
     pub fn place(
         &mut self,
         now: Duration,
@@ -186,7 +200,7 @@
             routers: self.membership.live_count(),
         };
         let Some(pool) = self.pools.get_mut(service) else {
-            return Err(Refusal::not_run(RefusalReason::NoReplica, Some(UNKNOWN_RETURN)));
+            return Err(Refusal::not_run(RefusalReason::NoReplica, Some(NO_REPLICA_RETRY_AFTER)));
         };
         match place(pool, now, demand, &settings, &mut self.random) {
             Ok(placement) => {
@@ -203,7 +217,7 @@
         }
     }
 
-    /// Takes what a replica says of its load.
+    /// Records the load that a replica reports.
     pub fn on_load_report(
         &mut self,
         now: Duration,
@@ -216,8 +230,8 @@
         }
     }
 
-    /// Returns what was heard of replicas after a time, for other routers; `only_own` leaves out what
-    /// others said.
+    /// Returns the load reports and failures of replicas learned since the clock reading `after`,
+    /// to send to other routers; `only_own` leaves out those learned from other routers.
     pub fn sightings_after(&self, now: Duration, after: Duration, only_own: bool) -> Sightings {
         let mut sightings = Sightings::default();
         for pool in self.pools.values() {
@@ -226,19 +240,21 @@
         sightings
     }
 
-    /// Takes what another router heard of replicas; returns those that are ejected or in use again
-    /// for it.
+    /// Merges the load reports and failures of replicas that another router sent; returns the
+    /// replicas that are ejected or readmitted because of them.
     ///
-    /// Answers many routers before many replicas, of which each hears from one only now and then.
+    /// In a fleet of many routers and many replicas, a single router sends requests to any one
+    /// replica too rarely to know its state from its own requests.
     pub fn merge_from_peer(&mut self, now: Duration, sightings: &Sightings) -> Vec<Judged> {
         if sightings.is_empty() {
             return Vec::new();
         }
-        let heard = HeardOf::from(sightings);
-        self.pools.values_mut().flat_map(|pool| pool.hear(now, &heard)).collect()
+        let received = HeardOf::from(sightings);
+        self.pools.values_mut().flat_map(|pool| pool.hear(now, &received)).collect()
     }
 
-    /// Takes a request off a replica that held it for a time; tells whether the replica is ejected.
+    /// Records the end of an attempt that was in progress at a replica for the time `held`; returns
+    /// whether the replica is ejected because of its outcome, `symptom`.
     pub fn on_attempt_end(
         &mut self,
         now: Duration,
@@ -250,7 +266,8 @@
         self.pools.get_mut(service).is_some_and(|pool| pool.end(now, incarnation, symptom, held))
     }
 
-    /// Returns when a caller whose request replicas turned away should come back.
+    /// Reserves a retry time for a caller whose request the replicas turned away; returns the time
+    /// after which it should retry, at most `latest`.
     pub fn schedule_retry_after(
         &mut self,
         now: Duration,
@@ -259,11 +276,11 @@
     ) -> Duration {
         match self.pools.get_mut(service) {
             Some(pool) => pool.returns.schedule(now, latest, &mut self.random),
-            None => UNKNOWN_RETURN.min(latest),
+            None => NO_REPLICA_RETRY_AFTER.min(latest),
         }
     }
 
-    /// Takes how long a request waited for the first byte of its answer.
+    /// Records how long a request waited for the first byte of its answer.
     pub fn on_first_byte(&mut self, now: Duration, service: &str, waited: Duration) {
         let routers = self.membership.live_count();
         if let Some(pool) = self.pools.get_mut(service) {
