--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -5,9 +5,7 @@
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Demand, Placement};
-use teaselworks_policy::retry::{
-    AttemptHistory, Failure, RetryDecision, RetryReason, decide_retry,
-};
+use teaselworks_policy::retry::{AttemptHistory, Decision, Failure, RetryReason, decide_retry};
 use teaselworks_policy::upstream::Symptom;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
@@ -120,11 +118,9 @@
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
         let (reason, is_budgeted) = match decide_retry(failure, &attempts) {
-            RetryDecision::Retry { is_budgeted, .. } if is_begun => {
-                (RetryReason::Resumed, is_budgeted)
-            }
-            RetryDecision::Retry { reason, is_budgeted } => (reason, is_budgeted),
-            RetryDecision::GiveUp(mut refusal) => {
+            Decision::Retry { is_budgeted, .. } if is_begun => (RetryReason::Resumed, is_budgeted),
+            Decision::Retry { reason, is_budgeted } => (reason, is_budgeted),
+            Decision::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
                     refusal.retry_after = Some(fleet.schedule_retry_after(now, service, latest));
                 }
--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -137,7 +137,7 @@
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RetryDecision {
+pub enum Decision {
     /// Send the request to another upstream. If `is_budgeted`, only if the retry budget allows it.
     Retry {
         /// Why the request is retried.
@@ -156,21 +156,21 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use teaselworks_policy::retry::{AttemptHistory, Failure, RetryDecision, decide_retry};
+/// use teaselworks_policy::retry::{AttemptHistory, Failure, Decision, decide_retry};
 ///
 /// let remaining = Duration::from_secs(1);
 /// let history =
 ///     AttemptHistory { is_idempotent: false, tried_count: 1, runs: 1, max_runs: 1, remaining };
-/// assert!(matches!(decide_retry(Failure::Broken, &history), RetryDecision::GiveUp(_)));
+/// assert!(matches!(decide_retry(Failure::Broken, &history), Decision::GiveUp(_)));
 /// ```
-pub fn decide_retry(failure: Failure, history: &AttemptHistory) -> RetryDecision {
+pub fn decide_retry(failure: Failure, history: &AttemptHistory) -> Decision {
     let has_possible_run = history.runs > 0;
     let verdict = if has_possible_run { Verdict::MayHaveRun } else { Verdict::NotRun };
     let has_time_left = history.remaining >= MIN_RETRY_TIME;
     let has_attempts_left =
         history.tried_count < MAX_TRIED_UPSTREAMS && history.runs < history.max_runs;
     if has_time_left && has_attempts_left && verdict.is_retry_safe(history.is_idempotent) {
-        return RetryDecision::Retry {
+        return Decision::Retry {
             reason: RetryReason::Failed(failure),
             is_budgeted: failure.was_sent(),
         };
@@ -184,7 +184,7 @@
         }
     };
     match verdict {
-        Verdict::MayHaveRun => RetryDecision::GiveUp(Refusal::may_have_run(reason)),
-        Verdict::NotRun => RetryDecision::GiveUp(Refusal::not_run(reason, None)),
+        Verdict::MayHaveRun => Decision::GiveUp(Refusal::may_have_run(reason)),
+        Verdict::NotRun => Decision::GiveUp(Refusal::not_run(reason, None)),
     }
 }
--- a/teaselworks_policy/src/retry/mod.rs
+++ b/teaselworks_policy/src/retry/mod.rs
@@ -5,4 +5,4 @@
 mod decision;
 
 pub use self::budget::{BudgetSettings, RetryBudget};
-pub use self::decision::{AttemptHistory, Failure, RetryDecision, RetryReason, decide_retry};
+pub use self::decision::{AttemptHistory, Decision, Failure, RetryReason, decide_retry};
--- a/teaselworks_policy/tests/retry.rs
+++ b/teaselworks_policy/tests/retry.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use teaselworks_policy::retry::{
-    AttemptHistory, BudgetSettings, Failure, RetryBudget, RetryDecision, decide_retry,
+    AttemptHistory, BudgetSettings, Decision, Failure, RetryBudget, decide_retry,
 };
 use teaselworks_policy::verdict::Verdict;
 
@@ -32,9 +32,9 @@
     for failure in FAILURES {
         let has_run = failure.verdict() == Verdict::MayHaveRun;
         let decision = decide_retry(failure, &history(false, u32::from(has_run)));
-        assert_eq!(matches!(decision, RetryDecision::GiveUp(_)), has_run, "{failure:?}");
+        assert_eq!(matches!(decision, Decision::GiveUp(_)), has_run, "{failure:?}");
         let decision = decide_retry(failure, &history(true, u32::from(has_run)));
-        assert!(matches!(decision, RetryDecision::Retry { .. }), "{failure:?}");
+        assert!(matches!(decision, Decision::Retry { .. }), "{failure:?}");
     }
 }
 
@@ -44,7 +44,7 @@
 fn the_refusal_covers_every_attempt() {
     let given_up = AttemptHistory { tried_count: 4, ..history(true, 1) };
     for failure in FAILURES {
-        let RetryDecision::GiveUp(refusal) = decide_retry(failure, &given_up) else {
+        let Decision::GiveUp(refusal) = decide_retry(failure, &given_up) else {
             panic!("{failure:?}: expected to give up after four upstreams");
         };
         assert!([502, 504].contains(&refusal.http_status()), "{failure:?}");
@@ -55,7 +55,7 @@
 #[test]
 fn a_request_past_its_deadline_is_given_up() {
     let expired = AttemptHistory { remaining: Duration::ZERO, ..history(true, 0) };
-    let RetryDecision::GiveUp(refusal) = decide_retry(Failure::Rejected, &expired) else {
+    let Decision::GiveUp(refusal) = decide_retry(Failure::Rejected, &expired) else {
         panic!("expected to give up: no time is left");
     };
     assert_eq!(refusal.http_status(), 503);
