--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -39,13 +39,13 @@
     /// Notes that the answer has begun.
     pub(super) fn first_byte(&self) {
         let now = self.shared.now();
-        self.shared.fleet().first_byte(now, &self.service, now.saturating_sub(self.began));
+        self.shared.fleet().on_first_byte(now, &self.service, now.saturating_sub(self.began));
     }
 
     /// Takes what the upstream said of its load.
     pub(super) fn report(&self, report: LoadReport) {
         let now = self.shared.now();
-        self.shared.fleet().report(now, &self.service, &self.incarnation, report);
+        self.shared.fleet().on_load_report(now, &self.service, &self.incarnation, report);
     }
 }
 
@@ -53,8 +53,13 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let held = now.saturating_sub(self.began);
-        let ejected =
-            self.shared.fleet().end(now, &self.service, &self.incarnation, self.outcome, held);
+        let ejected = self.shared.fleet().on_attempt_end(
+            now,
+            &self.service,
+            &self.incarnation,
+            self.outcome,
+            held,
+        );
         if ejected {
             self.shared.metrics.add_ejection();
             event::UPSTREAM_EJECTED.log(&[
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::placement::{Placement, PlacementRequest};
-use teaselworks_policy::retry::{Attempts, Failure, Next, RetryReason, decide};
+use teaselworks_policy::retry::{AttemptHistory, Decision, Failure, RetryReason, decide_retry};
 use teaselworks_policy::upstream::RequestOutcome;
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
@@ -80,13 +80,13 @@
     /// Tells whether the engines of the service can copy prompts from each other.
     fn copies_prompts(&self) -> bool {
         let service = self.configuration.services.get(&self.prepared.service);
-        service.is_some_and(|service| service.copies_prompts)
+        service.is_some_and(|service| service.has_kv_transfer)
     }
 
     /// Lets go of the request once its answer has begun, unless another upstream may go on with it.
     pub(super) fn release_request(&mut self) {
         let route = &self.prepared.route;
-        if route.may_repeat() && self.runs + 1 < route.max_attempts {
+        if route.is_idempotent() && self.runs + 1 < route.max_attempts {
             return;
         }
         self.body.release();
@@ -106,10 +106,10 @@
         }
         let now = self.shared.now();
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
-        let offers = if self.body.is_held() { self.attempts() } else { u32::MAX };
-        let attempts = Attempts {
-            may_repeat: self.prepared.route.may_repeat(),
-            offers,
+        let tried_count = if self.body.is_held() { self.attempts() } else { u32::MAX };
+        let attempts = AttemptHistory {
+            is_idempotent: self.prepared.route.is_idempotent(),
+            tried_count,
             runs: self.runs,
             max_runs: self.prepared.route.max_attempts,
             remaining: self.prepared.deadline.remaining(now),
@@ -117,12 +117,12 @@
         let latest = self.prepared.deadline.latest_return(now);
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
-        let (reason, is_repeat) = match decide(failure, &attempts) {
-            Next::Retry { is_repeat, .. } if is_begun => (RetryReason::Resumed, is_repeat),
-            Next::Retry { reason, is_repeat } => (reason, is_repeat),
-            Next::GiveUp(mut refusal) => {
+        let (reason, is_budgeted) = match decide_retry(failure, &attempts) {
+            Decision::Retry { is_budgeted, .. } if is_begun => (RetryReason::Resumed, is_budgeted),
+            Decision::Retry { reason, is_budgeted } => (reason, is_budgeted),
+            Decision::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
-                    refusal.retry_after = Some(fleet.return_after(now, service, latest));
+                    refusal.retry_after = Some(fleet.schedule_retry_after(now, service, latest));
                 }
                 drop(fleet);
                 self.log_failure(failure, &refusal);
@@ -130,8 +130,8 @@
             }
         };
         let is_paid = failure == Failure::Silent;
-        if is_repeat && !is_paid && !fleet.try_repeat(now, service) {
-            let retry_after = fleet.return_after(now, service, latest);
+        if is_budgeted && !is_paid && !fleet.try_take_retry(now, service) {
+            let retry_after = fleet.schedule_retry_after(now, service, latest);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
             self.log_failure(failure, &refusal);
@@ -155,11 +155,11 @@
         let now = self.shared.now();
         let remaining = self.prepared.deadline.remaining(now);
         let has_run_left = self.runs + 1 < route.max_attempts;
-        route.may_repeat()
+        route.is_idempotent()
             && self.body.is_held()
             && has_run_left
             && remaining > route.target_latency
-            && self.shared.fleet().try_repeat(now, &self.prepared.service)
+            && self.shared.fleet().try_take_retry(now, &self.prepared.service)
     }
 
     /// Logs a failed attempt that no other follows.
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -100,7 +100,7 @@
 
     /// Takes what other routers heard of upstreams.
     pub fn hear(&self, observations: &SharedObservations) {
-        let changes = self.fleet().hear(self.now(), observations);
+        let changes = self.fleet().merge_from_peer(self.now(), observations);
         for EjectionChange { upstream, is_ejected } in changes {
             if is_ejected {
                 self.metrics.add_ejection();
--- a/teaselworks_policy/tests/retry_after.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -67,9 +67,15 @@
     };
     assert!(fleet.place(SECOND, "service", &request).is_ok());
     let incarnation = upstream.incarnation();
-    fleet.end(2 * SECOND, "service", &incarnation, Some(RequestOutcome::Answered), SECOND);
+    fleet.on_attempt_end(
+        2 * SECOND,
+        "service",
+        &incarnation,
+        Some(RequestOutcome::Answered),
+        SECOND,
+    );
     let report = LoadReport { running: 8, waiting: 30 };
-    fleet.report(2 * SECOND, "service", &incarnation, report);
+    fleet.on_load_report(2 * SECOND, "service", &incarnation, report);
     let refusal = fleet.place(2 * SECOND, "service", &request).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::Overloaded);
     let retry_after = refusal.retry_after.unwrap();
