--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -48,7 +48,7 @@
             zone: &self.shared.zone,
             tried: &self.tried,
             remaining: deadline.remaining(now),
-            max_retry_after: deadline.latest_return(now),
+            max_retry_after: deadline.max_retry_after(now),
             is_late: self.prepared.is_late,
             has_started: resumed_after.is_some() || self.runs > 0,
         };
@@ -114,7 +114,7 @@
             max_runs: self.prepared.route.max_attempts,
             remaining: self.prepared.deadline.remaining(now),
         };
-        let latest = self.prepared.deadline.latest_return(now);
+        let max_retry_after = self.prepared.deadline.max_retry_after(now);
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
         let (reason, is_budgeted) = match decide_retry(failure, &attempts) {
@@ -122,7 +122,8 @@
             Decision::Retry { reason, is_budgeted } => (reason, is_budgeted),
             Decision::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
-                    refusal.retry_after = Some(fleet.schedule_retry_after(now, service, latest));
+                    refusal.retry_after =
+                        Some(fleet.schedule_retry_after(now, service, max_retry_after));
                 }
                 drop(fleet);
                 self.log_failure(failure, &refusal);
@@ -131,7 +132,7 @@
         };
         let is_paid = failure == Failure::Silent;
         if is_budgeted && !is_paid && !fleet.try_take_retry(now, service) {
-            let retry_after = fleet.schedule_retry_after(now, service, latest);
+            let retry_after = fleet.schedule_retry_after(now, service, max_retry_after);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
             self.log_failure(failure, &refusal);
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -94,8 +94,8 @@
         let now = self.now();
         let elapsed = now.saturating_sub(*began);
         let limit = deadline.remaining(now);
-        let latest_return = deadline.latest_return(now);
-        self.fleet().admit_while_stopping(plan, elapsed, route, limit, latest_return)
+        let max_retry_after = deadline.max_retry_after(now);
+        self.fleet().admit_while_stopping(plan, elapsed, route, limit, max_retry_after)
     }
 
     /// Takes what other routers heard of upstreams.
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -93,7 +93,7 @@
         zone: ZONE,
         tried,
         remaining,
-        max_retry_after: deadline.latest_return(now),
+        max_retry_after: deadline.max_retry_after(now),
         has_started: false,
         is_late,
     };
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -231,8 +231,9 @@
             return;
         }
         self.end(call, Some(RequestOutcome::Error));
-        let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
-        let retry_after = self.routers[router].schedule_retry_after(self.now, SERVICE, latest);
+        let max_retry_after = self.calls[call].deadline.saturating_sub(self.now) / 3;
+        let retry_after =
+            self.routers[router].schedule_retry_after(self.now, SERVICE, max_retry_after);
         self.refuse(call, retry_after);
     }
 
--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -109,7 +109,7 @@
     /// answered in time.
     ///
     /// That is a third of the time that the caller has left: the retry itself needs the rest.
-    pub fn latest_return(&self, now: Duration) -> Duration {
+    pub fn max_retry_after(&self, now: Duration) -> Duration {
         (self.arrived + self.caller_timeout).saturating_sub(now) / 3
     }
 }
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -142,18 +142,18 @@
     /// refuses it.
     ///
     /// `elapsed` is the time since the stop began, `time_limit` the time left until the request's
-    /// deadline, and `latest_return` the longest time after which its caller can still come back.
+    /// deadline, and `max_retry_after` the longest time after which its caller can still come back.
     pub fn admit_while_stopping(
         &mut self,
         plan: &StopPlan,
         elapsed: Duration,
         route: &Arc<str>,
         time_limit: Duration,
-        latest_return: Duration,
+        max_retry_after: Duration,
     ) -> Result<(), Refusal> {
         let duration_estimate = self.durations.duration_estimate(route);
         let has_serving_peers = self.membership.are_most_peers_listed();
-        let arrival = Arrival { time_limit, duration_estimate, latest_return, has_serving_peers };
+        let arrival = Arrival { time_limit, duration_estimate, max_retry_after, has_serving_peers };
         plan.admit(elapsed, &arrival, &mut self.random)
     }
 
@@ -278,16 +278,16 @@
     }
 
     /// Reserves a retry time for a caller whose request the replicas turned away; returns the time
-    /// after which it should retry, at most `latest`.
+    /// after which it should retry, at most `max_retry_after`.
     pub fn schedule_retry_after(
         &mut self,
         now: Duration,
         service: &str,
-        latest: Duration,
+        max_retry_after: Duration,
     ) -> Duration {
         match self.pools.get_mut(service) {
-            Some(pool) => pool.returns.next_retry_after(now, latest, &mut self.random),
-            None => NO_REPLICA_RETRY_AFTER.min(latest),
+            Some(pool) => pool.returns.next_retry_after(now, max_retry_after, &mut self.random),
+            None => NO_REPLICA_RETRY_AFTER.min(max_retry_after),
         }
     }
 
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -36,7 +36,7 @@
     /// How long requests of its route take; `None` while none has ended.
     pub duration_estimate: Option<DurationEstimate>,
     /// Longest time after which its caller can still come back and be answered in time.
-    pub latest_return: Duration,
+    pub max_retry_after: Duration,
     /// Most other routers are serving, so that a caller that reconnects likely reaches one of them.
     pub has_serving_peers: bool,
 }
@@ -74,7 +74,7 @@
     ///
     /// Refuses it otherwise. The refusal's `retry_after` is zero where most other routers are
     /// serving. Otherwise it is a random time between half and all of the time until the process is
-    /// killed, or until `latest_return` if that is shorter: by then another router is more likely
+    /// killed, or until `max_retry_after` if that is shorter: by then another router is more likely
     /// to be serving.
     ///
     /// ```
@@ -90,7 +90,7 @@
     /// let arrival = Arrival {
     ///     time_limit: 9 * second,
     ///     duration_estimate,
-    ///     latest_return: second,
+    ///     max_retry_after: second,
     ///     has_serving_peers: false,
     /// };
     /// assert!(plan.admit(6 * second, &arrival, &mut random).is_ok());
@@ -117,7 +117,7 @@
         }
         let wait = if arrival.has_serving_peers { Duration::ZERO } else { time_left + EXIT_MARGIN };
         let jitter = random.random_range(0.5..1.0);
-        let retry_after = wait.min(arrival.latest_return).mul_f64(jitter);
+        let retry_after = wait.min(arrival.max_retry_after).mul_f64(jitter);
         Err(Refusal::not_run(RefusalReason::Stopping, Some(retry_after)))
     }
 
--- a/teaselworks_policy/tests/stop.rs
+++ b/teaselworks_policy/tests/stop.rs
@@ -13,7 +13,12 @@
 
 fn arrival(time: Duration, has_serving_peers: bool) -> Arrival {
     let duration_estimate = Some(DurationEstimate { typical: time, longest: Some(time) });
-    Arrival { time_limit: 12 * SECOND, duration_estimate, latest_return: SECOND, has_serving_peers }
+    Arrival {
+        time_limit: 12 * SECOND,
+        duration_estimate,
+        max_retry_after: SECOND,
+        has_serving_peers,
+    }
 }
 
 /// Guards against refusing short requests during a rolling stop in which all routers stop, one
@@ -67,18 +72,18 @@
         elapsed in 0.0..1.2_f64,
         limit_ms in 0_u64..60_000,
         typical_ms in 0_u64..60_000,
-        return_ms in 0_u64..4_000,
+        max_retry_after_ms in 0_u64..4_000,
         has_serving_peers in any::<bool>(),
     ) {
         let grace = Duration::from_millis(grace_ms);
         let plan = StopPlan::new(grace);
-        let [time_limit, typical, latest_return] =
-            [limit_ms, typical_ms, return_ms].map(Duration::from_millis);
+        let [time_limit, typical, max_retry_after] =
+            [limit_ms, typical_ms, max_retry_after_ms].map(Duration::from_millis);
         let estimate = DurationEstimate { typical, longest: Some(typical) };
         let arrival = Arrival {
             time_limit,
             duration_estimate: Some(estimate),
-            latest_return,
+            max_retry_after,
             has_serving_peers,
         };
         let elapsed = grace.mul_f64(elapsed);
@@ -89,7 +94,7 @@
                 prop_assert!(expected_end + Duration::from_millis(300) > grace);
                 prop_assert_eq!(refusal.reason, RefusalReason::Stopping);
                 prop_assert_eq!(refusal.http_status(), 503);
-                prop_assert!(refusal.retry_after.unwrap() <= latest_return);
+                prop_assert!(refusal.retry_after.unwrap() <= max_retry_after);
             }
         }
     }
