--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -105,7 +105,7 @@
         self.arrived
     }
 
-    /// Returns the longest time after which a caller that is refused now can come back and still be
+    /// Returns the maximum retry-after time with which a caller that is refused now can still be
     /// answered in time.
     ///
     /// That is a third of the time that the caller has left: the retry itself needs the rest.
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -142,7 +142,8 @@
     /// refuses it.
     ///
     /// `elapsed` is the time since the stop began, `time_limit` the time left until the request's
-    /// deadline, and `max_retry_after` the longest time after which its caller can still come back.
+    /// deadline, and `max_retry_after` the maximum retry-after time with which the caller can still
+    /// be answered in time.
     pub fn admit_while_stopping(
         &mut self,
         plan: &StopPlan,
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -35,7 +35,7 @@
     pub time_limit: Duration,
     /// How long requests of its route take; `None` while none has ended.
     pub duration_estimate: Option<DurationEstimate>,
-    /// Longest time after which its caller can still come back and be answered in time.
+    /// Maximum retry-after time with which the caller can still be answered in time.
     pub max_retry_after: Duration,
     /// Most other routers are serving, so that a caller that reconnects likely reaches one of them.
     pub has_serving_peers: bool,
