--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -114,7 +114,7 @@
         let (mut own, mut reported, mut weight_sum) = (0_u32, 0.0, 0.0);
         let (mut eligible_count, mut candidate_count, mut slots) = (0, 0, 0_u32);
         for member in self.pool.members() {
-            let score = self.key.map_or(0, |key| rendezvous_score(key, member.identity));
+            let score = self.key.map_or(0, |key| rendezvous_score(key, member.id_hash));
             let is_usable = member.health.is_usable(self.now);
             if is_usable && self.key.is_some() && !member.has_empty_cache && !member.is_suspended {
                 self.holders.add(score, member);
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -25,8 +25,8 @@
 pub struct Member {
     /// The replica, as its entry in the list describes it.
     pub upstream: Arc<Upstream>,
-    /// Hash of the identifier.
-    pub identity: u64,
+    /// Hash of the identifier, from which the rendezvous scores are computed.
+    pub id_hash: u64,
     /// Number of requests at the replica.
     pub load: Load,
     /// Health, which decides whether the replica gets requests.
@@ -49,7 +49,7 @@
 impl Member {
     fn new(upstream: Upstream, has_empty_cache: bool) -> Self {
         Self {
-            identity: hash_upstream_id(&upstream.id),
+            id_hash: hash_upstream_id(&upstream.id),
             is_draining: upstream.is_draining,
             upstream: Arc::new(upstream),
             load: Load::default(),
@@ -67,7 +67,7 @@
     fn incarnation_hash(&self) -> u64 {
         let started = self.upstream.started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
         let started_ms = started.map_or(0, |since| since.as_millis() as u64);
-        rendezvous_score(started_ms, self.identity)
+        rendezvous_score(started_ms, self.id_hash)
     }
 }
 
