--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -41,14 +41,14 @@
     member: &Member,
     now: Duration,
     request: &PlacementRequest<'_>,
-    usual: &AverageLoad,
+    average_load: &AverageLoad,
     settings: &PlacementSettings,
 ) -> bool {
     if request.has_started {
         return false;
     }
     let max_wait = pool.target().map_or(request.remaining, |target| target.mul_f64(MAX_WAIT_SHARE));
-    let wait = expected_wait(member, now, usual, settings);
+    let wait = expected_wait(member, now, average_load, settings);
     wait.is_some_and(|wait| wait > max_wait.min(request.remaining))
 }
 
@@ -57,11 +57,11 @@
 fn expected_wait(
     member: &Member,
     now: Duration,
-    usual: &AverageLoad,
+    average_load: &AverageLoad,
     settings: &PlacementSettings,
 ) -> Option<Duration> {
     let slots = f64::from(member.upstream.slots.max(1));
-    let requests_ahead = member.load.estimate(now, usual) + 1.0 - slots;
+    let requests_ahead = member.load.estimate(now, average_load) + 1.0 - slots;
     if requests_ahead <= 0.0 || !has_current_report(member, now, settings) {
         return None;
     }
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -149,7 +149,8 @@
         Some(_) => choose_by_affinity(&scan, now, settings, random),
         None => choose_by_load(&scan, now, request.zone, random),
     };
-    if admission::exceeds_max_wait(pool, choice.member, now, request, scan.usual(), settings) {
+    if admission::exceeds_max_wait(pool, choice.member, now, request, scan.average_load(), settings)
+    {
         let has_room_elsewhere = key.is_some() && !scan.is_crowded();
         let spillover =
             has_room_elsewhere.then(|| choose_spillover(&scan, now, settings, random)).flatten();
@@ -189,11 +190,11 @@
     random: &mut impl Rng,
 ) -> Choice<'a> {
     let bound = load_bound(scan, settings);
-    let search = search_order(scan.ranked(), now, scan.usual(), bound);
+    let search = search_order(scan.ranked(), now, scan.average_load(), bound);
     if let OrderSearch::Found(choice) = search {
         return choice;
     }
-    let load = |member: &Member| member.load.estimate(now, scan.usual());
+    let load = |member: &Member| member.load.estimate(now, scan.average_load());
     let least = least_loaded(scan.ranked().take(MAX_FULL_REPLICAS), bound, load);
     let may_queue = scan.is_crowded() || least.load + 1.0 <= bound * QUEUE_BOUND_FACTOR;
     if matches!(search, OrderSearch::Full) && may_queue {
@@ -217,7 +218,7 @@
     let mut chosen = None;
     let mut total_room = 0.0;
     for member in scan.candidates() {
-        let load = member.load.estimate(now, scan.usual());
+        let load = member.load.estimate(now, scan.average_load());
         if load + 1.0 > bound || load >= f64::from(member.upstream.slots) {
             continue;
         }
@@ -233,7 +234,7 @@
 /// Returns the number of requests that a replica should not exceed.
 fn load_bound(scan: &Scan<'_>, settings: &PlacementSettings) -> f64 {
     let excess = (settings.load_factor - 1.0).max(0.0) * USED_EXCESS_SHARE;
-    scan.mean_load() * (1.0 + excess) + SPARE_REQUESTS
+    scan.mean_requests() * (1.0 + excess) + SPARE_REQUESTS
 }
 
 /// Result of [`search_order`].
@@ -251,12 +252,12 @@
 fn search_order<'a>(
     order: impl Iterator<Item = &'a Member>,
     now: Duration,
-    usual: &AverageLoad,
+    average_load: &AverageLoad,
     bound: f64,
 ) -> OrderSearch<'a> {
     let mut full_count = 0;
     for (rank, member) in order.enumerate() {
-        let load = member.load.estimate(now, usual);
+        let load = member.load.estimate(now, average_load);
         if load >= f64::from(member.upstream.slots) {
             full_count += 1;
             if full_count == MAX_FULL_REPLICAS {
@@ -287,7 +288,7 @@
     let cost = |member: &Member| {
         let zone_penalty = if &*member.upstream.zone == zone { 0.0 } else { ZONE_PENALTY };
         let slots = f64::from(member.upstream.slots.max(1));
-        (member.load.estimate(now, scan.usual()) + zone_penalty) / slots
+        (member.load.estimate(now, scan.average_load()) + zone_penalty) / slots
     };
     least_loaded(order, f64::INFINITY, cost)
 }
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -64,7 +64,7 @@
     unreported_count: f64,
     /// Total slots of the candidates.
     slots: u32,
-    usual: AverageLoad,
+    average_load: AverageLoad,
     /// First candidates in the key's order; empty without a key.
     ranked: TopScored<'a, RANKED_REPLICAS>,
     /// First replicas in the key's order from which the cached prompt can be copied. They may be
@@ -94,7 +94,7 @@
             known_requests: 0.0,
             unreported_count: 0.0,
             slots: 0,
-            usual: AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers },
+            average_load: AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers },
             ranked: TopScored::new(),
             holders: TopScored::new(),
         };
@@ -144,8 +144,9 @@
         // With reports, their mean is used instead: under the assumption alone, one request of this
         // router at a replica that has not reported lately would count as one from every router.
         let assumed = own * f64::from(routers.saturating_sub(1)) / candidate_count.max(1) as f64;
-        self.usual.own_requests = own / candidate_count.max(1) as f64;
-        self.usual.peer_requests = if weight_sum > 0.0 { reported / weight_sum } else { assumed };
+        self.average_load.own_requests = own / candidate_count.max(1) as f64;
+        self.average_load.peer_requests =
+            if weight_sum > 0.0 { reported / weight_sum } else { assumed };
         eligible_count
     }
 
@@ -154,25 +155,25 @@
             && (!self.has_only_usable || member.health.is_usable(self.now))
     }
 
-    /// Returns the mean load of a candidate, from which the load of a replica without a recent
+    /// Returns the average load of the candidates, from which the load of a replica without a recent
     /// report is estimated.
-    pub(super) fn usual(&self) -> &AverageLoad {
-        &self.usual
+    pub(super) fn average_load(&self) -> &AverageLoad {
+        &self.average_load
     }
 
     /// Returns the estimated number of requests of all routers at the candidates.
-    fn total_load(&self) -> f64 {
-        self.known_requests + self.unreported_count * self.usual.peer_requests
+    fn total_requests(&self) -> f64 {
+        self.known_requests + self.unreported_count * self.average_load.peer_requests
     }
 
     /// Returns the estimated mean number of requests at a candidate.
-    pub(super) fn mean_load(&self) -> f64 {
-        self.total_load() / self.candidate_count as f64
+    pub(super) fn mean_requests(&self) -> f64 {
+        self.total_requests() / self.candidate_count as f64
     }
 
     /// Tells whether nearly all slots of the candidates are taken.
     pub(super) fn is_crowded(&self) -> bool {
-        self.total_load() >= CROWDED_SHARE * f64::from(self.slots)
+        self.total_requests() >= CROWDED_SHARE * f64::from(self.slots)
     }
 
     /// Returns the number of candidates.
