--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -24,8 +24,8 @@
 };
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Time after which a caller should retry where the service has no known replica.
-const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry-after time for a service without a pool: none of its replicas has been listed yet.
+const NO_POOL_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Configurable bounds on load and retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -202,7 +202,7 @@
             routers: self.membership.live_count(),
         };
         let Some(pool) = self.pools.get_mut(service) else {
-            return Err(Refusal::not_run(RefusalReason::NoReplica, Some(NO_REPLICA_RETRY_AFTER)));
+            return Err(Refusal::not_run(RefusalReason::NoReplica, Some(NO_POOL_RETRY_AFTER)));
         };
         match place(pool, now, request, &settings, &mut self.random) {
             Ok(placement) => {
@@ -294,7 +294,7 @@
             Some(pool) => {
                 pool.retry_after_schedule.next_retry_after(now, max_retry_after, &mut self.random)
             }
-            None => NO_REPLICA_RETRY_AFTER.min(max_retry_after),
+            None => NO_POOL_RETRY_AFTER.min(max_retry_after),
         }
     }
 
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -15,9 +15,9 @@
 use crate::upstream::{AverageLoad, Member, Pool, Upstream};
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Retry-after time for a service without a usable replica: an ejected replica is tried again after
-/// one second, and a new replica is listed within one second.
-const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Retry-after time for a service without a replica that the request may be sent to: an ejected
+/// replica is tried again after one second, and a new replica is listed within one second.
+const NO_CANDIDATE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Share of the load above the mean that [`PlacementSettings::load_factor`] allows and that this
 /// router uses. The rest is left for the other routers, which place requests by the same load
 /// reports before the replicas report again.
@@ -139,7 +139,7 @@
 ) -> Result<Placement, Refusal> {
     let key = request.prompt.and_then(Prompt::affinity_key);
     let Some(scan) = Scan::new(pool, now, request, key, settings.routers) else {
-        let retry_after = NO_REPLICA_RETRY_AFTER.min(request.max_retry_after);
+        let retry_after = NO_CANDIDATE_RETRY_AFTER.min(request.max_retry_after);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
     if let Some(reason) = admission::service_refusal(pool, now, scan.is_crowded(), request) {
