--- a/teaselworks/src/beliefs/follow.rs
+++ b/teaselworks/src/beliefs/follow.rs
@@ -150,17 +150,17 @@
             known_revision: self.learner.revision(),
             wait,
             largest_bytes: Some(NEWS_SIZE_MAX_BYTES),
-            heard: Heard::pack(&self.learner.own_sightings_after(told_at)),
+            heard: Heard::pack(&self.learner.own_observations_after(told_at)),
         };
         let cause = match reader.ask(question).await {
             Ok(answer) if answer.news == News::TooLarge => {
-                self.learner.on_sightings(&answer.heard.unpack());
+                self.learner.apply_observations(&answer.heard.unpack());
                 // One look at the store, after which the reader is asked again.
                 self.contact = Contact::Untried;
                 return;
             }
             Ok(answer) if answer.reads_store => {
-                self.learner.on_sightings(&answer.heard.unpack());
+                self.learner.apply_observations(&answer.heard.unpack());
                 self.learner.on_news(&answer.news, Source::Peer(address));
                 return;
             }
--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -65,13 +65,13 @@
     }
 
     /// Returns what this router itself heard of upstreams after a time.
-    pub fn own_sightings_after(&self, after: Duration) -> SharedObservations {
-        self.shared.fleet().sightings_after(self.shared.now(), after, true)
+    pub fn own_observations_after(&self, after: Duration) -> SharedObservations {
+        self.shared.fleet().observations_after(self.shared.now(), after, true)
     }
 
     /// Takes what other routers heard of upstreams.
-    pub fn on_sightings(&self, observations: &SharedObservations) {
-        self.shared.hear(observations);
+    pub fn apply_observations(&self, observations: &SharedObservations) {
+        self.shared.apply_observations(observations);
     }
 
     /// Notes that the store cannot be read.
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -40,11 +40,11 @@
         let Some(message) = message.map_err(|_| PeerError::Timeout)? else { return Ok(()) };
         let Message::Binary(bytes) = message.map_err(|_| PeerError::Broken)? else { continue };
         let Question { known_revision, wait, largest_bytes, heard } = decode(&bytes)?;
-        shared.hear(&heard.unpack());
+        shared.apply_observations(&heard.unpack());
         cache.wait(known_revision, wait.min(WAIT_MAX)).await;
         let news = cache.news_after(known_revision, largest_bytes);
         let now = shared.now();
-        let heard = Heard::pack(&shared.fleet().sightings_after(now, told_at, false));
+        let heard = Heard::pack(&shared.fleet().observations_after(now, told_at, false));
         told_at = now;
         let answer = encode(&Answer { reads_store: cache.is_current(), news, heard })?;
         socket.send(Message::Binary(answer)).await.map_err(|_| PeerError::Broken)?;
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -99,8 +99,8 @@
     }
 
     /// Takes what other routers heard of upstreams.
-    pub fn hear(&self, observations: &SharedObservations) {
-        let changes = self.fleet().merge_from_peer(self.now(), observations);
+    pub fn apply_observations(&self, observations: &SharedObservations) {
+        let changes = self.fleet().apply_observations(self.now(), observations);
         for EjectionChange { upstream, is_ejected } in changes {
             if is_ejected {
                 self.metrics.add_ejection();
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -139,11 +139,11 @@
         let after = std::mem::replace(&mut self.exchanged_at, self.now);
         let Some((reader, others)) = self.routers.split_first_mut() else { return };
         for router in others.iter() {
-            reader.merge_from_peer(self.now, &router.sightings_after(self.now, after, true));
+            reader.apply_observations(self.now, &router.observations_after(self.now, after, true));
         }
-        let observations = reader.sightings_after(self.now, after, false);
+        let observations = reader.observations_after(self.now, after, false);
         for router in others {
-            router.merge_from_peer(self.now, &observations);
+            router.apply_observations(self.now, &observations);
         }
     }
 
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -237,7 +237,7 @@
 
     /// Returns the load reports and failures of replicas learned since the clock reading `after`,
     /// to send to other routers; `only_own` leaves out those learned from other routers.
-    pub fn sightings_after(
+    pub fn observations_after(
         &self,
         now: Duration,
         after: Duration,
@@ -255,7 +255,7 @@
     ///
     /// In a fleet of many routers and many replicas, a single router sends requests to any one
     /// replica too rarely to know its state from its own requests.
-    pub fn merge_from_peer(
+    pub fn apply_observations(
         &mut self,
         now: Duration,
         observations: &SharedObservations,
--- a/teaselworks_policy/tests/observations.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -51,18 +51,21 @@
     );
     let report = LoadReport { running: 7, waiting: 1 };
     near.on_load_report(SECOND, "service", &upstream.incarnation(), report);
-    reader.merge_from_peer(
+    reader.apply_observations(
         SECOND * 3 / 2,
-        &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true),
+        &near.observations_after(SECOND * 3 / 2, Duration::ZERO, true),
     );
     assert!(
-        reader.sightings_after(2 * SECOND, Duration::ZERO, true).is_empty(),
+        reader.observations_after(2 * SECOND, Duration::ZERO, true).is_empty(),
         "the report was received by another router"
     );
-    far.merge_from_peer(2 * SECOND, &reader.sightings_after(2 * SECOND, Duration::ZERO, false));
+    far.apply_observations(
+        2 * SECOND,
+        &reader.observations_after(2 * SECOND, Duration::ZERO, false),
+    );
     assert_eq!(known_report_age(&far, 2 * SECOND), Some(SECOND));
     assert!(
-        reader.sightings_after(3 * SECOND, 2 * SECOND, false).is_empty(),
+        reader.observations_after(3 * SECOND, 2 * SECOND, false).is_empty(),
         "the report was shared before"
     );
 }
@@ -78,7 +81,7 @@
     let mut current = fleet(&[before.clone(), after]);
     let report = LoadReport { running: 7, waiting: 1 };
     slow.on_load_report(SECOND, "service", &before.incarnation(), report);
-    current.merge_from_peer(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
+    current.apply_observations(SECOND, &slow.observations_after(SECOND, Duration::ZERO, true));
     assert_eq!(known_report_age(&current, SECOND), None);
 }
 
@@ -102,7 +105,7 @@
 /// Shares a router's own observations; returns the number of replicas ejected or readmitted for
 /// them.
 fn share_observations(from: &Fleet, to: &mut Fleet, now: Duration, after: Duration) -> usize {
-    to.merge_from_peer(now, &from.sightings_after(now, after, true)).len()
+    to.apply_observations(now, &from.observations_after(now, after, true)).len()
 }
 
 /// Guards against an unresponsive replica that each of many routers has to detect by itself, and
