--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/news.rs
@@ -252,7 +252,7 @@
     assert!(!added.seen().is_empty());
 }
 
-/// Guards against a router without replicas for seconds, since entries lapsed in an outage.
+/// Guards against a router without replicas for seconds, since entries expired in an outage.
 #[tokio::test]
 async fn entries_that_lapsed_in_an_outage_are_used_until_they_are_back() {
     let fleet = fleet(1).await;
