--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -92,7 +92,7 @@
         self.durations.retain(&configuration.routes);
         self.deadlines.retain(&configuration.routes);
         for (service, pool) in &mut self.pools {
-            pool.set_target(configuration.routes.shortest_target_latency(service));
+            pool.set_target_latency(configuration.routes.shortest_target_latency(service));
         }
         self.configuration = Some(Arc::new(configuration));
         true
@@ -119,9 +119,9 @@
         }
         let service = &upstream.service;
         let routes = self.configuration.as_ref().map(|configuration| &configuration.routes);
-        let target = routes.and_then(|routes| routes.shortest_target_latency(service));
+        let target_latency = routes.and_then(|routes| routes.shortest_target_latency(service));
         let pool = self.pools.entry(service.clone()).or_default();
-        pool.set_target(target);
+        pool.set_target_latency(target_latency);
         pool.put(upstream.clone());
     }
 
--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -47,7 +47,9 @@
     if request.has_started {
         return false;
     }
-    let max_wait = pool.target().map_or(request.remaining, |target| target.mul_f64(MAX_WAIT_SHARE));
+    let max_wait = pool
+        .target_latency()
+        .map_or(request.remaining, |target_latency| target_latency.mul_f64(MAX_WAIT_SHARE));
     let wait = expected_wait(member, now, average_load, settings);
     wait.is_some_and(|wait| wait > max_wait.min(request.remaining))
 }
--- a/teaselworks_policy/src/upstream/concurrency.rs
+++ b/teaselworks_policy/src/upstream/concurrency.rs
@@ -32,16 +32,16 @@
     /// Records that a request waited for the first byte of its answer for the time `waited`, while
     /// `in_progress` requests were at the service.
     ///
-    /// `target` is the target latency of the service. The limit never falls below `min_limit`.
+    /// `target_latency` is the one of the service. The limit never falls below `min_limit`.
     ///
     /// ```
     /// use std::time::Duration;
     /// use teaselworks_policy::upstream::ConcurrencyLimit;
     ///
-    /// let target = Duration::from_millis(300);
+    /// let target_latency = Duration::from_millis(300);
     /// let mut limit = ConcurrencyLimit::default();
     /// assert!(limit.allows(1_000));
-    /// limit.observe(Duration::from_secs(1), Duration::from_millis(900), target, 10, 3.0);
+    /// limit.observe(Duration::from_secs(1), Duration::from_millis(900), target_latency, 10, 3.0);
     /// assert!(limit.allows(8));
     /// assert!(!limit.allows(10));
     /// ```
@@ -49,7 +49,7 @@
         &mut self,
         now: Duration,
         waited: Duration,
-        target: Duration,
+        target_latency: Duration,
         in_progress: u32,
         min_limit: f64,
     ) {
@@ -57,7 +57,7 @@
         let mean = self.mean_wait_s.unwrap_or(waited_s);
         let mean = mean + LATEST_WEIGHT * (waited_s - mean);
         self.mean_wait_s = Some(mean);
-        if mean <= target.as_secs_f64() * TARGET_SHARE {
+        if mean <= target_latency.as_secs_f64() * TARGET_SHARE {
             self.limit = self.limit.map(|limit| limit + 1.0 / limit.max(1.0));
             return;
         }
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -76,7 +76,7 @@
 pub struct Pool {
     members: Vec<Member>,
     /// Shortest target latency of the routes to the service.
-    target: Option<Duration>,
+    target_latency: Option<Duration>,
     /// Whether a replica of the service has ever reported its load.
     has_load_reports: bool,
     concurrency_limit: ConcurrencyLimit,
@@ -119,13 +119,13 @@
     }
 
     /// Sets the shortest target latency of the routes to the service.
-    pub fn set_target(&mut self, target: Option<Duration>) {
-        self.target = target;
+    pub fn set_target_latency(&mut self, target_latency: Option<Duration>) {
+        self.target_latency = target_latency;
     }
 
     /// Returns the shortest target latency of the routes to the service.
-    pub fn target(&self) -> Option<Duration> {
-        self.target
+    pub fn target_latency(&self) -> Option<Duration> {
+        self.target_latency
     }
 
     /// Returns whether this router has as many requests at the service as are answered in time.
@@ -151,7 +151,7 @@
     /// Records how long a request waited for the first byte of its answer, in a fleet of `routers`
     /// routers.
     pub fn on_first_byte(&mut self, now: Duration, waited: Duration, routers: u32) {
-        let Some(target) = self.target else { return };
+        let Some(target_latency) = self.target_latency else { return };
         let slots: u32 = self.usable(now).map(|member| member.upstream.slots).sum();
         let requests_per_slot = if self.has_load_reports {
             MIN_REQUESTS_PER_SLOT
@@ -160,7 +160,7 @@
         };
         let min_limit = requests_per_slot * f64::from(slots) / f64::from(routers.max(1));
         let in_progress = self.in_progress(now);
-        self.concurrency_limit.observe(now, waited, target, in_progress, min_limit);
+        self.concurrency_limit.observe(now, waited, target_latency, in_progress, min_limit);
     }
 
     /// Sends no new requests to a replica until its entry in the list can be decoded again.
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -4,14 +4,14 @@
 
 use teaselworks_policy::upstream::{LoadReport, Pool, RequestOutcome, Upstream};
 
-const TARGET: Duration = Duration::from_millis(300);
+const TARGET_LATENCY: Duration = Duration::from_millis(300);
 
 fn pool() -> Pool {
     let mut pool = Pool::default();
     for number in 0..4 {
         pool.put(Upstream { slots: 6, ..Upstream::example(&format!("i-{number}"), "plain") });
     }
-    pool.set_target(Some(TARGET));
+    pool.set_target_latency(Some(TARGET_LATENCY));
     pool
 }
 
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -155,7 +155,7 @@
 /// or four requests each.
 fn full_pool(has_uneven_queues: bool) -> Pool {
     let mut pool = pool(4, 4);
-    pool.set_target(Some(Duration::from_millis(300)));
+    pool.set_target_latency(Some(Duration::from_millis(300)));
     for number in 0..4 {
         let upstream = incarnation(&pool, &format!("i-{number}"));
         pool.begin_request(NOW, &upstream);
@@ -190,7 +190,7 @@
 #[test]
 fn a_saturated_service_without_reports_gets_no_prompt() {
     let mut pool = pool(4, 6);
-    pool.set_target(Some(Duration::from_millis(300)));
+    pool.set_target_latency(Some(Duration::from_millis(300)));
     let upstream = incarnation(&pool, "i-0");
     for _ in 0..30 {
         pool.begin_request(NOW, &upstream);
@@ -210,7 +210,7 @@
 fn a_hot_key_spills_over_full_replicas_while_others_have_room() {
     for key in 10..60 {
         let mut pool = pool(8, 4);
-        pool.set_target(Some(Duration::from_millis(300)));
+        pool.set_target_latency(Some(Duration::from_millis(300)));
         let mut order: Vec<String> = (0..8).map(|number| format!("i-{number}")).collect();
         order.sort_by_key(|id| std::cmp::Reverse(rendezvous_score(key, hash_upstream_id(id))));
         for (rank, id) in order.iter().enumerate() {
@@ -260,7 +260,7 @@
 #[test]
 fn prompts_go_to_the_first_replicas_in_their_order_when_all_are_full() {
     let mut pool = full_pool(true);
-    pool.set_target(Some(Duration::from_secs(3_600)));
+    pool.set_target_latency(Some(Duration::from_secs(3_600)));
     let patient = PlacementRequest { remaining: Duration::from_secs(3_600), ..request(None) };
     for key in 10..60 {
         let prompt = prompt(key);
