--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -231,7 +231,7 @@
         report: LoadReport,
     ) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.report(now, incarnation, report);
+            pool.on_load_report(now, incarnation, report);
         }
     }
 
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records a load report that the upstream sent to this router.
-    pub fn report(&mut self, now: Duration, report: LoadReport) {
+    pub fn on_load_report(&mut self, now: Duration, report: LoadReport) {
         let total = report.running + report.waiting;
         let peer_requests = total.saturating_sub(self.own_requests);
         self.latest_report = Some(StoredReport {
@@ -161,7 +161,7 @@
     /// let mut load = Load::default();
     /// load.begin_request();
     /// assert_eq!(load.estimate(Duration::ZERO, &average), 6.0);
-    /// load.report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
+    /// load.on_load_report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
     /// assert_eq!(load.estimate(Duration::ZERO, &average), 9.0);
     /// ```
     pub fn estimate(&self, now: Duration, average: &AverageLoad) -> f64 {
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -100,7 +100,7 @@
     /// pool.put(before.clone());
     /// pool.put(after);
     /// let late = LoadReport { running: 9, waiting: 0 };
-    /// pool.report(Duration::ZERO, &before.incarnation(), late);
+    /// pool.on_load_report(Duration::ZERO, &before.incarnation(), late);
     /// assert_eq!(pool.members()[0].load.report_age(Duration::ZERO), None);
     /// ```
     pub fn put(&mut self, upstream: Upstream) {
@@ -289,10 +289,10 @@
     }
 
     /// Records a replica's load report. The load in a report of an earlier incarnation is ignored.
-    pub fn report(&mut self, now: Duration, incarnation: &Incarnation, report: LoadReport) {
+    pub fn on_load_report(&mut self, now: Duration, incarnation: &Incarnation, report: LoadReport) {
         self.has_load_reports = true;
         if let Some(member) = self.find_incarnation(incarnation) {
-            member.load.report(now, report);
+            member.load.on_load_report(now, report);
             member.reachability.on_response(now);
         }
     }
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -86,7 +86,7 @@
 fn a_service_that_reports_its_load_is_limited_while_nearly_all_slots_are_taken() {
     let mut pool = pool();
     let report = LoadReport { running: 6, waiting: 9 };
-    pool.report(Duration::ZERO, &Upstream::example("i-0", "plain").incarnation(), report);
+    pool.on_load_report(Duration::ZERO, &Upstream::example("i-0", "plain").incarnation(), report);
     send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-0", "plain").incarnation();
--- a/teaselworks_policy/tests/observations.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -31,7 +31,7 @@
 fn the_later_report_is_kept() {
     let average = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
-    load.report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
+    load.on_load_report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
     load.apply_shared_load(11 * SECOND, 9, 2 * SECOND);
     assert_eq!(load.estimate(11 * SECOND, &average).round(), 5.0);
     load.apply_shared_load(12 * SECOND, 9, SECOND / 2);
@@ -166,6 +166,6 @@
     load.begin_request();
     let busy = load.estimate(SECOND, &average);
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
-    load.report(SECOND, LoadReport { running: 3, waiting: 0 });
+    load.on_load_report(SECOND, LoadReport { running: 3, waiting: 0 });
     assert_eq!(load.estimate(SECOND, &average), 3.0, "a report takes precedence over the average");
 }
--- a/teaselworks_policy/tests/placement.rs
+++ b/teaselworks_policy/tests/placement.rs
@@ -125,7 +125,7 @@
         let id = format!("i-{number}");
         if *id != *home.upstream.id {
             let other = incarnation(&pool, &id);
-            pool.report(NOW, &other, LoadReport { running: 3, waiting: 0 });
+            pool.on_load_report(NOW, &other, LoadReport { running: 3, waiting: 0 });
         }
     }
     let next = place(&pool, NOW, &request(Some(&prompt)), &settings, &mut random()).unwrap();
@@ -166,7 +166,7 @@
             Duration::from_millis(900),
         );
         let waiting = if has_uneven_queues { number } else { 4 };
-        pool.report(NOW, &upstream, LoadReport { running: 4, waiting });
+        pool.on_load_report(NOW, &upstream, LoadReport { running: 4, waiting });
     }
     pool
 }
@@ -223,7 +223,7 @@
                 Duration::from_millis(900),
             );
             let running = if rank < 5 { 4 } else { 1 };
-            pool.report(NOW, &upstream, LoadReport { running, waiting: 0 });
+            pool.on_load_report(NOW, &upstream, LoadReport { running, waiting: 0 });
         }
         let prompt = prompt(key);
         let placed = place(&pool, NOW, &request(Some(&prompt)), &SETTINGS, &mut random()).unwrap();
@@ -242,7 +242,7 @@
     order.sort_by_key(|id| std::cmp::Reverse(rendezvous_score(key, hash_upstream_id(id))));
     for (rank, id) in order.iter().enumerate() {
         let running = if rank < 4 { 30 } else { 4 };
-        pool.report(NOW, &incarnation(&pool, id), LoadReport { running, waiting: 0 });
+        pool.on_load_report(NOW, &incarnation(&pool, id), LoadReport { running, waiting: 0 });
     }
     let prompt = prompt(key);
     let mut placed = std::collections::BTreeMap::<_, u32>::new();
@@ -334,7 +334,7 @@
 fn a_replica_that_started_again_is_judged_anew() {
     let mut pool = pool(4, 48);
     let before = incarnation(&pool, "i-0");
-    pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
+    pool.on_load_report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     for _ in 0..2 {
         pool.begin_request(NOW, &before);
         pool.end_request(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO);
@@ -349,7 +349,7 @@
     pool.begin_request(NOW, &after);
     assert!(!pool.end_request(NOW, &before, Some(RequestOutcome::NoAnswer), Duration::ZERO));
     pool.end_request(NOW, &before, Some(RequestOutcome::Answered), Duration::from_secs(9));
-    pool.report(NOW, &before, LoadReport { running: 40, waiting: 9 });
+    pool.on_load_report(NOW, &before, LoadReport { running: 40, waiting: 9 });
     let member = &pool.members()[0];
     assert_eq!((member.load.own_requests(), member.load.report_age(NOW)), (1, None));
     assert_eq!((member.mean_request_time, member.health.failure_rate()), (None, 0.0));
