--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -7,7 +7,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::fleet::{Fleet, FleetSettings};
 use teaselworks_policy::membership::Membership;
-use teaselworks_policy::placement::{Demand, Part, Placement, Prompt};
+use teaselworks_policy::placement::{Placement, PlacementRequest, Prompt, PromptPart};
 use teaselworks_policy::retry::BudgetSettings;
 use teaselworks_policy::upstream::{Change, Upstream};
 use teaselworks_policy::verdict::Refusal;
@@ -52,7 +52,7 @@
     let routes = (0..load.kinds.len()).map(|kind| route(load, kind));
     let mut configuration =
         Configuration { version: 1, routes: Routes::new(routes), ..Configuration::default() };
-    configuration.services.insert(SERVICE.into(), Service { copies_prompts: true });
+    configuration.services.insert(SERVICE.into(), Service { has_kv_transfer: true });
     configuration
 }
 
@@ -84,18 +84,18 @@
     let deadline = Deadline::new(now, Some(remaining), milliseconds(kind.deadline_ms));
     let parts = [(1, 1), (call.key, kind.shared_tokens), (u64::MAX, kind.own_tokens)];
     let prompt = Prompt {
-        parts: parts.map(|(id, tokens)| Part { id, tokens }).to_vec(),
+        parts: parts.map(|(id, tokens)| PromptPart { id, tokens }).to_vec(),
         input_tokens: kind.shared_tokens + kind.own_tokens,
         output_tokens: kind.answer_tokens,
     };
-    let demand = Demand {
+    let request = PlacementRequest {
         prompt: Some(&prompt).filter(|_| load.placing == Placing::Reuse),
         zone: ZONE,
         tried,
         remaining,
-        latest_return: deadline.latest_return(now),
-        is_begun: false,
+        max_retry_after: deadline.max_retry_after(now),
+        has_started: false,
         is_late,
     };
-    fleet.place(now, SERVICE, &demand)
+    fleet.place(now, SERVICE, &request)
 }
--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -1,72 +1,79 @@
-//! Whether a request is sent to the chosen replica or refused.
+//! Decides whether a request is sent to the chosen replica or refused.
 //!
-//! Answers load beyond what replicas bear: what waits in them longer than callers aim at is answered
-//! late, and delays what is still in time.
+//! Under overload, requests that queue in a replica for too long are answered after the target
+//! latency of their callers, and delay requests that could still be answered in time.
 
 use std::time::Duration;
 
-use super::{Demand, PlacementSettings};
+use super::{PlacementRequest, PlacementSettings};
 use crate::upstream::{AverageLoad, Member, Pool};
 use crate::verdict::RefusalReason;
 
-/// Part of what callers aim at that a request may wait for a slot. The same for every request of a
-/// service: with less for some, these would never find a place under load.
-const WAIT_SHARE: f64 = 0.15;
+/// Share of the target latency that a request may wait for a slot. It is the same for every request
+/// of a service: requests with a smaller share would never be placed under load.
+const MAX_WAIT_SHARE: f64 = 0.15;
 
-/// Returns why a service has no room for a request, whatever replica it would go to.
+/// Returns the reason to refuse a request whichever replica it would go to, or `None` to admit it.
 ///
-/// While nearly all slots are taken, callers that can still be answered in time go before those that
-/// are late already.
-pub(super) fn lacks_room(
+/// While nearly all slots of the service are taken, callers that can still be answered in time have
+/// priority over callers that are already late. A request that has started is always admitted.
+pub(super) fn service_refusal(
     pool: &Pool,
     now: Duration,
     is_crowded: bool,
-    demand: &Demand<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Option<RefusalReason> {
-    if demand.is_begun {
+    if request.has_started {
         return None;
     }
-    if is_crowded && demand.is_late {
+    if is_crowded && request.is_late {
         return Some(RefusalReason::LateCaller);
     }
     pool.is_saturated(now, is_crowded).then_some(RefusalReason::Limited)
 }
 
-/// Tells whether a replica would not answer a request in time.
-pub(super) fn is_too_late(
+/// Tells whether a request would wait at the replica for longer than it may.
+///
+/// It may wait for a share of the service's target latency, and never beyond its deadline. A
+/// request that has started may wait at any replica.
+pub(super) fn exceeds_max_wait(
     pool: &Pool,
     member: &Member,
     now: Duration,
-    demand: &Demand<'_>,
-    usual: &AverageLoad,
+    request: &PlacementRequest<'_>,
+    average_load: &AverageLoad,
     settings: &PlacementSettings,
 ) -> bool {
-    if demand.is_begun {
+    if request.has_started {
         return false;
     }
-    let longest = pool.target().map_or(demand.remaining, |target| target.mul_f64(WAIT_SHARE));
-    let wait = expected_wait(member, now, usual, settings);
-    wait.is_some_and(|wait| wait > longest.min(demand.remaining))
+    let max_wait = pool
+        .target_latency()
+        .map_or(request.remaining, |target_latency| target_latency.mul_f64(MAX_WAIT_SHARE));
+    let wait = expected_wait(member, now, average_load, settings);
+    wait.is_some_and(|wait| wait > max_wait.min(request.remaining))
 }
 
-/// Returns the wait for a slot where all are taken; `None` where some is free, or too little is
-/// known to refuse on.
+/// Returns the expected wait for a slot of the replica. Returns `None` if a slot is free, or if too
+/// little is known about the replica to refuse a request.
 fn expected_wait(
     member: &Member,
     now: Duration,
-    usual: &AverageLoad,
+    average_load: &AverageLoad,
     settings: &PlacementSettings,
 ) -> Option<Duration> {
     let slots = f64::from(member.upstream.slots.max(1));
-    let ahead = member.load.estimate(now, usual) + 1.0 - slots;
-    if ahead <= 0.0 || !is_known(member, now, settings) {
+    let requests_ahead = member.load.estimate(now, average_load) + 1.0 - slots;
+    if requests_ahead <= 0.0 || !has_current_report(member, now, settings) {
         return None;
     }
-    Some(member.mean_request_time?.mul_f64(ahead / slots))
+    Some(member.mean_request_time?.mul_f64(requests_ahead / slots))
 }
 
-/// Tells whether a report is known: without one the load is a guess from few requests, too coarse to
-/// refuse on.
-fn is_known(member: &Member, now: Duration, settings: &PlacementSettings) -> bool {
+/// Tells whether the replica's last load report is recent enough to be used.
+///
+/// Without such a report, the load is extrapolated from few requests, which is too inaccurate to
+/// refuse a request.
+fn has_current_report(member: &Member, now: Duration, settings: &PlacementSettings) -> bool {
     member.load.peer_load(now, settings.routers).is_some()
 }
