--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -85,7 +85,7 @@
     /// Begins a planned stop; a second one changes nothing.
     pub fn begin_stop(&self, plan: StopPlan) {
         let _ = self.stop.set((plan, self.now()));
-        self.shutdown.advance(ShutdownPhase::Notice);
+        self.shutdown.advance(ShutdownPhase::Announced);
     }
 
     /// Refuses a request that a planned stop would cut.
@@ -94,13 +94,13 @@
         let now = self.now();
         let elapsed = now.saturating_sub(*began);
         let limit = deadline.remaining(now);
-        let latest_return = deadline.latest_return(now);
-        self.fleet().admit_while_stopping(plan, elapsed, route, limit, latest_return)
+        let max_retry_after = deadline.max_retry_after(now);
+        self.fleet().admit_while_stopping(plan, elapsed, route, limit, max_retry_after)
     }
 
     /// Takes what other routers heard of upstreams.
-    pub fn hear(&self, observations: &SharedObservations) {
-        let changes = self.fleet().hear(self.now(), observations);
+    pub fn apply_observations(&self, observations: &SharedObservations) {
+        let changes = self.fleet().apply_observations(self.now(), observations);
         for EjectionChange { upstream, is_ejected } in changes {
             if is_ejected {
                 self.metrics.add_ejection();
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -139,11 +139,11 @@
         let after = std::mem::replace(&mut self.exchanged_at, self.now);
         let Some((reader, others)) = self.routers.split_first_mut() else { return };
         for router in others.iter() {
-            reader.hear(self.now, &router.sightings_after(self.now, after, true));
+            reader.apply_observations(self.now, &router.observations_after(self.now, after, true));
         }
-        let observations = reader.sightings_after(self.now, after, false);
+        let observations = reader.observations_after(self.now, after, false);
         for router in others {
-            router.hear(self.now, &observations);
+            router.apply_observations(self.now, &observations);
         }
     }
 
@@ -231,8 +231,9 @@
             return;
         }
         self.end(call, Some(RequestOutcome::Error));
-        let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
-        let retry_after = self.routers[router].return_after(self.now, SERVICE, latest);
+        let max_retry_after = self.calls[call].deadline.saturating_sub(self.now) / 3;
+        let retry_after =
+            self.routers[router].schedule_retry_after(self.now, SERVICE, max_retry_after);
         self.refuse(call, retry_after);
     }
 
@@ -264,9 +265,9 @@
         let Some(sent) = self.sent.get(&call) else { return };
         self.calls[call].first_at = Some(self.now);
         let fleet = &mut self.routers[sent.router];
-        fleet.first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
+        fleet.on_first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
         if let Some(report) = self.engines[sent.engine].report(self.now) {
-            fleet.report(self.now, SERVICE, &sent.incarnation, report);
+            fleet.on_load_report(self.now, SERVICE, &sent.incarnation, report);
         }
     }
 
@@ -294,7 +295,13 @@
     fn end(&mut self, call: usize, request_outcome: Option<RequestOutcome>) -> Option<Sent> {
         let sent = self.sent.remove(&call)?;
         let held = self.now.saturating_sub(sent.at);
-        self.routers[sent.router].end(self.now, SERVICE, &sent.incarnation, request_outcome, held);
+        self.routers[sent.router].on_attempt_end(
+            self.now,
+            SERVICE,
+            &sent.incarnation,
+            request_outcome,
+            held,
+        );
         Some(sent)
     }
 
--- a/teaselworks_policy/src/retry/mod.rs
+++ b/teaselworks_policy/src/retry/mod.rs
@@ -1,7 +1,8 @@
-//! Whether a request whose attempt failed is sent to another upstream.
+//! Retries: whether a request whose attempt failed is sent to another upstream, and the budget that
+//! limits how often that happens.
 
 mod budget;
 mod decision;
 
 pub use self::budget::{BudgetSettings, RetryBudget};
-pub use self::decision::{Attempts, Failure, Next, RetryReason, decide};
+pub use self::decision::{AttemptHistory, Decision, Failure, RetryReason, decide_retry};
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
 
-use crate::placement::{Returns, identity, score};
+use crate::placement::{RetryAfterSchedule, hash_upstream_id, rendezvous_score};
 
 use super::{
     ConcurrencyLimit, EjectionChange, Health, Incarnation, Load, LoadReport, ObservationIndex,
@@ -25,14 +25,14 @@
 pub struct Member {
     /// The replica, as its entry in the list describes it.
     pub upstream: Arc<Upstream>,
-    /// Hash of the identifier.
-    pub identity: u64,
+    /// Hash of the identifier, from which the rendezvous scores are computed.
+    pub id_hash: u64,
     /// Number of requests at the replica.
     pub load: Load,
     /// Health, which decides whether the replica gets requests.
     pub health: Health,
     /// Failures of requests of all routers since the replica last responded.
-    pub reach: Reachability,
+    pub reachability: Reachability,
     /// Exponential moving average of the time from sending a request to the end of its answer;
     /// `None` before the first answer.
     pub mean_request_time: Option<Duration>,
@@ -49,12 +49,12 @@
 impl Member {
     fn new(upstream: Upstream, has_empty_cache: bool) -> Self {
         Self {
-            identity: identity(&upstream.id),
+            id_hash: hash_upstream_id(&upstream.id),
             is_draining: upstream.is_draining,
             upstream: Arc::new(upstream),
             load: Load::default(),
             health: Health::default(),
-            reach: Reachability::default(),
+            reachability: Reachability::default(),
             mean_request_time: None,
             is_suspended: false,
             has_empty_cache,
@@ -67,7 +67,7 @@
     fn incarnation_hash(&self) -> u64 {
         let started = self.upstream.started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
         let started_ms = started.map_or(0, |since| since.as_millis() as u64);
-        score(started_ms, self.identity)
+        rendezvous_score(started_ms, self.id_hash)
     }
 }
 
@@ -76,12 +76,12 @@
 pub struct Pool {
     members: Vec<Member>,
     /// Shortest target latency of the routes to the service.
-    target: Option<Duration>,
+    target_latency: Option<Duration>,
     /// Whether a replica of the service has ever reported its load.
     has_load_reports: bool,
     concurrency_limit: ConcurrencyLimit,
-    /// Schedule by which callers that were refused come back.
-    pub returns: Returns,
+    /// Schedule of the retries of callers that were refused.
+    pub retry_after_schedule: RetryAfterSchedule,
 }
 
 impl Pool {
@@ -100,7 +100,7 @@
     /// pool.put(before.clone());
     /// pool.put(after);
     /// let late = LoadReport { running: 9, waiting: 0 };
-    /// pool.report(Duration::ZERO, &before.incarnation(), late);
+    /// pool.on_load_report(Duration::ZERO, &before.incarnation(), late);
     /// assert_eq!(pool.members()[0].load.report_age(Duration::ZERO), None);
     /// ```
     pub fn put(&mut self, upstream: Upstream) {
@@ -119,13 +119,13 @@
     }
 
     /// Sets the shortest target latency of the routes to the service.
-    pub fn set_target(&mut self, target: Option<Duration>) {
-        self.target = target;
+    pub fn set_target_latency(&mut self, target_latency: Option<Duration>) {
+        self.target_latency = target_latency;
     }
 
     /// Returns the shortest target latency of the routes to the service.
-    pub fn target(&self) -> Option<Duration> {
-        self.target
+    pub fn target_latency(&self) -> Option<Duration> {
+        self.target_latency
     }
 
     /// Returns whether this router has as many requests at the service as are answered in time.
@@ -151,7 +151,7 @@
     /// Records how long a request waited for the first byte of its answer, in a fleet of `routers`
     /// routers.
     pub fn on_first_byte(&mut self, now: Duration, waited: Duration, routers: u32) {
-        let Some(target) = self.target else { return };
+        let Some(target_latency) = self.target_latency else { return };
         let slots: u32 = self.usable(now).map(|member| member.upstream.slots).sum();
         let requests_per_slot = if self.has_load_reports {
             MIN_REQUESTS_PER_SLOT
@@ -160,7 +160,7 @@
         };
         let min_limit = requests_per_slot * f64::from(slots) / f64::from(routers.max(1));
         let in_progress = self.in_progress(now);
-        self.concurrency_limit.observe(now, waited, target, in_progress, min_limit);
+        self.concurrency_limit.observe(now, waited, target_latency, in_progress, min_limit);
     }
 
     /// Sends no new requests to a replica until its entry in the list can be decoded again.
@@ -210,8 +210,12 @@
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
-            Some(RequestOutcome::Answered | RequestOutcome::Error) => member.reach.on_response(now),
-            Some(RequestOutcome::NoAnswer) => member.reach.on_failed(now, now.saturating_sub(held)),
+            Some(RequestOutcome::Answered | RequestOutcome::Error) => {
+                member.reachability.on_response(now)
+            }
+            Some(RequestOutcome::NoAnswer) => {
+                member.reachability.on_failed(now, now.saturating_sub(held))
+            }
             None => {}
         }
         if outcome == Some(RequestOutcome::Answered) {
@@ -243,7 +247,7 @@
             if let Some((total, age)) = member.load.report_after(now, after, only_own) {
                 observations.loads.push(SharedLoad { incarnation, total, age });
             }
-            if let Some((count, age)) = member.reach.failures_after(now, after, only_own) {
+            if let Some((count, age)) = member.reachability.failures_after(now, after, only_own) {
                 observations.failures.push(SharedFailures { incarnation, count, age });
             }
         }
@@ -263,16 +267,16 @@
             if let Some(load) = observations.loads.get(&hash) {
                 self.has_load_reports = true;
                 member.load.apply_shared_load(now, load.total, load.age);
-                member.reach.on_response(now.saturating_sub(load.age));
+                member.reachability.on_response(now.saturating_sub(load.age));
             }
             let is_unresponsive = observations
                 .failures
                 .get(&hash)
-                .is_some_and(|failures| member.reach.apply_shared_failures(now, failures));
+                .is_some_and(|failures| member.reachability.apply_shared_failures(now, failures));
             let has_changed = if is_unresponsive {
                 member.health.eject_for_peer_failures(now)
             } else {
-                member.reach.has_no_failure() && member.health.readmit()
+                member.reachability.has_no_failure() && member.health.readmit()
             };
             if has_changed {
                 changes.push(EjectionChange {
@@ -285,11 +289,11 @@
     }
 
     /// Records a replica's load report. The load in a report of an earlier incarnation is ignored.
-    pub fn report(&mut self, now: Duration, incarnation: &Incarnation, report: LoadReport) {
+    pub fn on_load_report(&mut self, now: Duration, incarnation: &Incarnation, report: LoadReport) {
         self.has_load_reports = true;
         if let Some(member) = self.find_incarnation(incarnation) {
-            member.load.report(now, report);
-            member.reach.on_response(now);
+            member.load.on_load_report(now, report);
+            member.reachability.on_response(now);
         }
     }
 
--- a/teaselworks_policy/tests/concurrency.rs
+++ b/teaselworks_policy/tests/concurrency.rs
@@ -4,14 +4,14 @@
 
 use teaselworks_policy::upstream::{LoadReport, Pool, RequestOutcome, Upstream};
 
-const TARGET: Duration = Duration::from_millis(300);
+const TARGET_LATENCY: Duration = Duration::from_millis(300);
 
 fn pool() -> Pool {
     let mut pool = Pool::default();
     for number in 0..4 {
         pool.put(Upstream { slots: 6, ..Upstream::example(&format!("i-{number}"), "plain") });
     }
-    pool.set_target(Some(TARGET));
+    pool.set_target_latency(Some(TARGET_LATENCY));
     pool
 }
 
@@ -86,7 +86,7 @@
 fn a_service_that_reports_its_load_is_limited_while_nearly_all_slots_are_taken() {
     let mut pool = pool();
     let report = LoadReport { running: 6, waiting: 9 };
-    pool.report(Duration::ZERO, &Upstream::example("i-0", "plain").incarnation(), report);
+    pool.on_load_report(Duration::ZERO, &Upstream::example("i-0", "plain").incarnation(), report);
     send_requests(&mut pool, 1..20, 30, Duration::from_millis(280));
     let now = Duration::from_secs(20);
     let upstream = Upstream::example("i-0", "plain").incarnation();
--- a/teaselworks_policy/tests/observations.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -31,7 +31,7 @@
 fn the_later_report_is_kept() {
     let average = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
-    load.report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
+    load.on_load_report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
     load.apply_shared_load(11 * SECOND, 9, 2 * SECOND);
     assert_eq!(load.estimate(11 * SECOND, &average).round(), 5.0);
     load.apply_shared_load(12 * SECOND, 9, SECOND / 2);
@@ -50,16 +50,22 @@
         fleet(std::slice::from_ref(&upstream)),
     );
     let report = LoadReport { running: 7, waiting: 1 };
-    near.report(SECOND, "service", &upstream.incarnation(), report);
-    reader.hear(SECOND * 3 / 2, &near.sightings_after(SECOND * 3 / 2, Duration::ZERO, true));
+    near.on_load_report(SECOND, "service", &upstream.incarnation(), report);
+    reader.apply_observations(
+        SECOND * 3 / 2,
+        &near.observations_after(SECOND * 3 / 2, Duration::ZERO, true),
+    );
     assert!(
-        reader.sightings_after(2 * SECOND, Duration::ZERO, true).is_empty(),
+        reader.observations_after(2 * SECOND, Duration::ZERO, true).is_empty(),
         "the report was received by another router"
     );
-    far.hear(2 * SECOND, &reader.sightings_after(2 * SECOND, Duration::ZERO, false));
+    far.apply_observations(
+        2 * SECOND,
+        &reader.observations_after(2 * SECOND, Duration::ZERO, false),
+    );
     assert_eq!(known_report_age(&far, 2 * SECOND), Some(SECOND));
     assert!(
-        reader.sightings_after(3 * SECOND, 2 * SECOND, false).is_empty(),
+        reader.observations_after(3 * SECOND, 2 * SECOND, false).is_empty(),
         "the report was shared before"
     );
 }
@@ -74,15 +80,21 @@
     let mut slow = fleet(std::slice::from_ref(&before));
     let mut current = fleet(&[before.clone(), after]);
     let report = LoadReport { running: 7, waiting: 1 };
-    slow.report(SECOND, "service", &before.incarnation(), report);
-    current.hear(SECOND, &slow.sightings_after(SECOND, Duration::ZERO, true));
+    slow.on_load_report(SECOND, "service", &before.incarnation(), report);
+    current.apply_observations(SECOND, &slow.observations_after(SECOND, Duration::ZERO, true));
     assert_eq!(known_report_age(&current, SECOND), None);
 }
 
 fn fail_requests(fleet: &mut Fleet, now: Duration, times: u32) {
     let upstream = Upstream::example("i-1", "service").incarnation();
     for _ in 0..times {
-        fleet.end(now, "service", &upstream, Some(RequestOutcome::NoAnswer), SECOND / 10);
+        fleet.on_attempt_end(
+            now,
+            "service",
+            &upstream,
+            Some(RequestOutcome::NoAnswer),
+            SECOND / 10,
+        );
     }
 }
 
@@ -93,7 +105,7 @@
 /// Shares a router's own observations; returns the number of replicas ejected or readmitted for
 /// them.
 fn share_observations(from: &Fleet, to: &mut Fleet, now: Duration, after: Duration) -> usize {
-    to.hear(now, &from.sightings_after(now, after, true)).len()
+    to.apply_observations(now, &from.observations_after(now, after, true)).len()
 }
 
 /// Guards against an unresponsive replica that each of many routers has to detect by itself, and
@@ -114,7 +126,12 @@
     assert_eq!(share_observations(&second, &mut third, now, SECOND), 1);
     assert!(!is_usable(&third, now));
     let later = now + SECOND / 2;
-    first.report(later, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
+    first.on_load_report(
+        later,
+        "service",
+        &upstream.incarnation(),
+        LoadReport { running: 1, waiting: 0 },
+    );
     assert_eq!(share_observations(&first, &mut third, later, now), 1);
     assert!(is_usable(&third, later));
 }
@@ -128,7 +145,12 @@
         (fleet(std::slice::from_ref(&upstream)), fleet(std::slice::from_ref(&upstream)));
     let now = 5 * SECOND;
     fail_requests(&mut cut_off, now, 8);
-    near.report(now, "service", &upstream.incarnation(), LoadReport { running: 1, waiting: 0 });
+    near.on_load_report(
+        now,
+        "service",
+        &upstream.incarnation(),
+        LoadReport { running: 1, waiting: 0 },
+    );
     assert_eq!(share_observations(&cut_off, &mut near, now, SECOND), 0);
     assert!(is_usable(&near, now));
 }
@@ -144,6 +166,6 @@
     load.begin_request();
     let busy = load.estimate(SECOND, &average);
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
-    load.report(SECOND, LoadReport { running: 3, waiting: 0 });
+    load.on_load_report(SECOND, LoadReport { running: 3, waiting: 0 });
     assert_eq!(load.estimate(SECOND, &average), 3.0, "a report takes precedence over the average");
 }
