--- a/teaselworks_policy/src/upstream/mod.rs
+++ b/teaselworks_policy/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 mod load;
 mod observations;
 mod pool;
-mod reachability;
+mod reach;
 mod registry;
 
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     EjectionChange, ObservationIndex, SharedFailures, SharedLoad, SharedObservations,
 };
 pub use self::pool::{Member, Pool};
-pub use self::reachability::Reachability;
+pub use self::reach::Reachability;
 pub use self::registry::{Change, ListEntry, Registry};
 
 /// Identifies one start of a replica's process: a replica may keep its identifier and address when
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -32,7 +32,7 @@
     /// Health, which decides whether the replica gets requests.
     pub health: Health,
     /// Failures of requests of all routers since the replica last responded.
-    pub reachability: Reachability,
+    pub reach: Reachability,
     /// Exponential moving average of the time from sending a request to the end of its answer;
     /// `None` before the first answer.
     pub mean_request_time: Option<Duration>,
@@ -54,7 +54,7 @@
             upstream: Arc::new(upstream),
             load: Load::default(),
             health: Health::default(),
-            reachability: Reachability::default(),
+            reach: Reachability::default(),
             mean_request_time: None,
             is_suspended: false,
             has_empty_cache,
@@ -210,12 +210,8 @@
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
-            Some(RequestOutcome::Answered | RequestOutcome::Error) => {
-                member.reachability.on_response(now)
-            }
-            Some(RequestOutcome::NoAnswer) => {
-                member.reachability.on_failed(now, now.saturating_sub(held))
-            }
+            Some(RequestOutcome::Answered | RequestOutcome::Error) => member.reach.on_response(now),
+            Some(RequestOutcome::NoAnswer) => member.reach.on_failed(now, now.saturating_sub(held)),
             None => {}
         }
         if outcome == Some(RequestOutcome::Answered) {
@@ -247,7 +243,7 @@
             if let Some((total, age)) = member.load.report_after(now, after, only_own) {
                 observations.loads.push(SharedLoad { incarnation, total, age });
             }
-            if let Some((count, age)) = member.reachability.failures_after(now, after, only_own) {
+            if let Some((count, age)) = member.reach.failures_after(now, after, only_own) {
                 observations.failures.push(SharedFailures { incarnation, count, age });
             }
         }
@@ -267,16 +263,16 @@
             if let Some(load) = observations.loads.get(&hash) {
                 self.has_load_reports = true;
                 member.load.apply_shared_load(now, load.total, load.age);
-                member.reachability.on_response(now.saturating_sub(load.age));
+                member.reach.on_response(now.saturating_sub(load.age));
             }
             let is_unresponsive = observations
                 .failures
                 .get(&hash)
-                .is_some_and(|failures| member.reachability.apply_shared_failures(now, failures));
+                .is_some_and(|failures| member.reach.apply_shared_failures(now, failures));
             let has_changed = if is_unresponsive {
                 member.health.eject_for_peer_failures(now)
             } else {
-                member.reachability.has_no_failure() && member.health.readmit()
+                member.reach.has_no_failure() && member.health.readmit()
             };
             if has_changed {
                 changes.push(EjectionChange {
@@ -293,7 +289,7 @@
         self.has_load_reports = true;
         if let Some(member) = self.find_incarnation(incarnation) {
             member.load.on_load_report(now, report);
-            member.reachability.on_response(now);
+            member.reach.on_response(now);
         }
     }
 
