--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -176,8 +176,7 @@
         let Some(deadline) = deadline else { return false };
         // A refused caller comes back before its deadline. A deadline is therefore known to belong
         // to a first attempt only if the last refusal is longer ago than the deadline is long.
-        let refused_at =
-            self.pools.get(service).and_then(|pool| pool.retry_after_schedule.refused_at());
+        let refused_at = self.pools.get(service).and_then(|pool| pool.schedule.refused_at());
         if refused_at.is_none_or(|refused_at| now.saturating_sub(refused_at) > deadline) {
             self.deadlines.observe(route, deadline);
         }
@@ -207,15 +206,12 @@
         match place(pool, now, request, &settings, &mut self.random) {
             Ok(placement) => {
                 pool.begin_request(now, &placement.upstream.incarnation());
-                pool.retry_after_schedule.on_placed(now);
+                pool.schedule.on_placed(now);
                 Ok(placement)
             }
             Err(refusal) if refusal.reason.is_overload() => {
-                let retry_after = pool.retry_after_schedule.next_retry_after(
-                    now,
-                    request.max_retry_after,
-                    &mut self.random,
-                );
+                let retry_after =
+                    pool.schedule.next_retry_after(now, request.max_retry_after, &mut self.random);
                 Err(Refusal { retry_after: Some(retry_after), ..refusal })
             }
             Err(refusal) => Err(refusal),
@@ -291,9 +287,7 @@
         max_retry_after: Duration,
     ) -> Duration {
         match self.pools.get_mut(service) {
-            Some(pool) => {
-                pool.retry_after_schedule.next_retry_after(now, max_retry_after, &mut self.random)
-            }
+            Some(pool) => pool.schedule.next_retry_after(now, max_retry_after, &mut self.random),
             None => NO_POOL_RETRY_AFTER.min(max_retry_after),
         }
     }
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -81,7 +81,7 @@
     has_load_reports: bool,
     concurrency_limit: ConcurrencyLimit,
     /// Schedule of the retries of callers that were refused.
-    pub retry_after_schedule: RetryAfterSchedule,
+    pub schedule: RetryAfterSchedule,
 }
 
 impl Pool {
