--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -155,8 +155,8 @@
             && (!self.has_only_usable || member.health.is_usable(self.now))
     }
 
-    /// Returns the average load of the candidates, from which the load of a replica without a recent
-    /// report is estimated.
+    /// Returns the average load of the candidates, from which the load of a replica without a
+    /// recent report is estimated.
     pub(super) fn average_load(&self) -> &AverageLoad {
         &self.average_load
     }
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -157,16 +157,16 @@
     /// use std::time::Duration;
     /// use teaselworks_policy::upstream::{AverageLoad, Load, LoadReport};
     ///
-    /// let average = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
+    /// let average_load = AverageLoad { peer_requests: 4.0, own_requests: 0.6, routers: 8 };
     /// let mut load = Load::default();
     /// load.begin_request();
-    /// assert_eq!(load.estimate(Duration::ZERO, &average), 6.0);
+    /// assert_eq!(load.estimate(Duration::ZERO, &average_load), 6.0);
     /// load.on_load_report(Duration::ZERO, LoadReport { running: 9, waiting: 0 });
-    /// assert_eq!(load.estimate(Duration::ZERO, &average), 9.0);
+    /// assert_eq!(load.estimate(Duration::ZERO, &average_load), 9.0);
     /// ```
-    pub fn estimate(&self, now: Duration, average: &AverageLoad) -> f64 {
-        let fallback = average.estimate_peer_requests(self.own_requests);
-        let peer_requests = match self.peer_load(now, average.routers) {
+    pub fn estimate(&self, now: Duration, average_load: &AverageLoad) -> f64 {
+        let fallback = average_load.estimate_peer_requests(self.own_requests);
+        let peer_requests = match self.peer_load(now, average_load.routers) {
             Some(PeerLoad { requests, weight }) => weight * requests + (1.0 - weight) * fallback,
             None => fallback,
         };
--- a/teaselworks_policy/tests/observations.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -29,14 +29,14 @@
 /// Guards against an older report, passed on by another router, that replaces a later one.
 #[test]
 fn the_later_report_is_kept() {
-    let average = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
+    let average_load = AverageLoad { peer_requests: 0.0, own_requests: 0.0, routers: 70 };
     let mut load = Load::default();
     load.on_load_report(10 * SECOND, LoadReport { running: 5, waiting: 0 });
     load.apply_shared_load(11 * SECOND, 9, 2 * SECOND);
-    assert_eq!(load.estimate(11 * SECOND, &average).round(), 5.0);
+    assert_eq!(load.estimate(11 * SECOND, &average_load).round(), 5.0);
     load.apply_shared_load(12 * SECOND, 9, SECOND / 2);
     assert_eq!(load.report_age(12 * SECOND), Some(SECOND / 2));
-    assert_eq!(load.estimate(12 * SECOND, &average).round(), 9.0);
+    assert_eq!(load.estimate(12 * SECOND, &average_load).round(), 9.0);
 }
 
 /// Guards against a router that estimates loads without the reports that other routers received:
@@ -159,13 +159,17 @@
 /// to have an average load until it reports.
 #[test]
 fn more_own_requests_than_usual_speak_for_more_of_others() {
-    let average = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
+    let average_load = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
     let mut load = Load::default();
-    let idle = load.estimate(SECOND, &average);
+    let idle = load.estimate(SECOND, &average_load);
     load.begin_request();
     load.begin_request();
-    let busy = load.estimate(SECOND, &average);
+    let busy = load.estimate(SECOND, &average_load);
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
     load.on_load_report(SECOND, LoadReport { running: 3, waiting: 0 });
-    assert_eq!(load.estimate(SECOND, &average), 3.0, "a report takes precedence over the average");
+    assert_eq!(
+        load.estimate(SECOND, &average_load),
+        3.0,
+        "a report takes precedence over the average"
+    );
 }
