--- a/teaselworks_policy/src/placement/rendezvous.rs
+++ b/teaselworks_policy/src/placement/rendezvous.rs
@@ -30,10 +30,10 @@
 ///     rendezvous_score(7, hash_upstream_id("i-2")),
 /// );
 /// ```
-pub fn rendezvous_score(key: u64, upstream_hash: u64) -> u64 {
+pub fn rendezvous_score(key: u64, id_hash: u64) -> u64 {
     // Finalizer of SplitMix64: flipping one input bit flips each output bit with a probability of
     // about one half.
-    let mut mixed = upstream_hash ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut mixed = id_hash ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
