--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -141,7 +141,7 @@
     /// Admits a request at a stopping router if it is expected to end before the process exits, or
     /// refuses it.
     ///
-    /// `elapsed` is the time since the stop began, `time_limit` the time left until the request's
+    /// `elapsed` is the time since the stop began, `remaining` the time left until the request's
     /// deadline, and `max_retry_after` the maximum retry-after time with which the caller can still
     /// be answered in time.
     pub fn admit_while_stopping(
@@ -149,12 +149,12 @@
         plan: &StopPlan,
         elapsed: Duration,
         route: &Arc<str>,
-        time_limit: Duration,
+        remaining: Duration,
         max_retry_after: Duration,
     ) -> Result<(), Refusal> {
         let duration_estimate = self.durations.duration_estimate(route);
         let has_serving_peers = self.membership.are_most_peers_listed();
-        let arrival = Arrival { time_limit, duration_estimate, max_retry_after, has_serving_peers };
+        let arrival = Arrival { remaining, duration_estimate, max_retry_after, has_serving_peers };
         plan.admit(elapsed, &arrival, &mut self.random)
     }
 
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Arrival {
     /// Time left until the deadline of the request, at which it ends in any case.
-    pub time_limit: Duration,
+    pub remaining: Duration,
     /// How long requests of its route take; `None` while none has ended.
     pub duration_estimate: Option<DurationEstimate>,
     /// Maximum retry-after time with which the caller can still be answered in time.
@@ -88,7 +88,7 @@
     /// let plan = StopPlan::new(8 * second);
     /// let duration_estimate = Some(DurationEstimate { typical: second, longest: Some(second) });
     /// let arrival = Arrival {
-    ///     time_limit: 9 * second,
+    ///     remaining: 9 * second,
     ///     duration_estimate,
     ///     max_retry_after: second,
     ///     has_serving_peers: false,
@@ -110,9 +110,9 @@
             Some(estimate) if elapsed < self.accepting_until => estimate.typical,
             Some(DurationEstimate { longest: Some(longest), .. }) => longest,
             None if elapsed < self.accepting_until => Duration::ZERO,
-            Some(_) | None => arrival.time_limit,
+            Some(_) | None => arrival.remaining,
         };
-        if required_time.min(arrival.time_limit) <= time_left {
+        if required_time.min(arrival.remaining) <= time_left {
             return Ok(());
         }
         let wait = if arrival.has_serving_peers { Duration::ZERO } else { time_left + EXIT_MARGIN };
--- a/teaselworks_policy/tests/stop.rs
+++ b/teaselworks_policy/tests/stop.rs
@@ -14,7 +14,7 @@
 fn arrival(time: Duration, has_serving_peers: bool) -> Arrival {
     let duration_estimate = Some(DurationEstimate { typical: time, longest: Some(time) });
     Arrival {
-        time_limit: 12 * SECOND,
+        remaining: 12 * SECOND,
         duration_estimate,
         max_retry_after: SECOND,
         has_serving_peers,
@@ -70,26 +70,26 @@
     fn admitted_requests_end_before_the_exit(
         grace_ms in 1_000_u64..60_000,
         elapsed in 0.0..1.2_f64,
-        limit_ms in 0_u64..60_000,
+        remaining_ms in 0_u64..60_000,
         typical_ms in 0_u64..60_000,
         max_retry_after_ms in 0_u64..4_000,
         has_serving_peers in any::<bool>(),
     ) {
         let grace = Duration::from_millis(grace_ms);
         let plan = StopPlan::new(grace);
-        let [time_limit, typical, max_retry_after] =
-            [limit_ms, typical_ms, max_retry_after_ms].map(Duration::from_millis);
+        let [remaining, typical, max_retry_after] =
+            [remaining_ms, typical_ms, max_retry_after_ms].map(Duration::from_millis);
         let estimate = DurationEstimate { typical, longest: Some(typical) };
         let arrival = Arrival {
-            time_limit,
+            remaining,
             duration_estimate: Some(estimate),
             max_retry_after,
             has_serving_peers,
         };
         let elapsed = grace.mul_f64(elapsed);
-        let expected_end = elapsed + time_limit.min(typical);
+        let expected_end = elapsed + remaining.min(typical);
         match plan.admit(elapsed, &arrival, &mut Pcg32::seed_from_u64(grace_ms)) {
-            Ok(()) => prop_assert!(expected_end < grace || time_limit.min(typical).is_zero()),
+            Ok(()) => prop_assert!(expected_end < grace || remaining.min(typical).is_zero()),
             Err(refusal) => {
                 prop_assert!(expected_end + Duration::from_millis(300) > grace);
                 prop_assert_eq!(refusal.reason, RefusalReason::Stopping);
