--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -239,6 +239,12 @@
         open.push(connection);
     }
     router.logged("request_placed", 48).await.unwrap();
+    // The event is logged before the request reaches a service. A request that arrives after the
+    // change of behaviour would be answered and its connection closed.
+    let received = || fleet.services.iter().map(|service| service.seen().len()).sum::<usize>();
+    teaselworks_standin::fleet::until("48 requests reached services", async || received() == 48)
+        .await
+        .unwrap();
     for service in &fleet.services {
         service.set_behaviour(|seen| Script::whole(seen, 200, "a verse"));
     }
