--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked against the configuration, and its body.
+//! Checks the head of a caller's request against the configuration, and reads its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +18,18 @@
 use super::body::{self, BodyError, Outgoing};
 use crate::platform::headers::{self, RequestFacts};
 
-/// Largest body that is read before the request is sent on, so that it can be sent again.
-const HELD_BODY_SIZE_BYTES: usize = 128 << 10;
+/// Largest body that is buffered before the request is sent to an upstream, so that the request can
+/// be sent again. A larger one is streamed to a single upstream.
+const MAX_BUFFERED_BODY_BYTES: usize = 128 << 10;
 
-/// A request that may be served.
+/// A request whose head passed all checks, with the route and service that it goes to.
 pub(super) struct Prepared {
     pub(super) facts: RequestFacts,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) deadline: Deadline,
-    /// The caller was refused before and came back.
+    /// The caller sends again a request that was refused before.
     pub(super) is_late: bool,
     pub(super) method: Method,
     pub(super) target: Uri,
@@ -36,14 +37,22 @@
 }
 
 impl Prepared {
-    /// Returns the rank of the request: the workspace's goes before the route's.
+    /// Returns the priority of the request: that of its workspace where it has one, otherwise that
+    /// of its route.
     pub(super) fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         workspace.unwrap_or(self.route.priority)
     }
 }
 
-/// Checks the head of a request.
+/// Checks the head of a request and finds its route, service and workspace.
+///
+/// # Errors
+///
+/// - `Malformed`: the host is missing or invalid, or the target has no path.
+/// - `UnknownRoute`: no route matches the host and path.
+/// - `Unauthorized`: the route needs an API key and the request has none, or an unknown one.
+/// - `NoReplica`: the route sends the request to no service.
 pub(super) fn check(
     head: Parts,
     facts: RequestFacts,
@@ -66,15 +75,15 @@
     let target = head.uri.path_and_query().ok_or(RefusalReason::Malformed)?;
     let target = Bytes::copy_from_slice(target.as_str().as_bytes());
     let target = Uri::from_maybe_shared(target).map_err(|_| RefusalReason::Malformed)?;
-    let headers = detached(&head.headers);
+    let headers = copy_headers(&head.headers);
     let method = head.method;
     let is_late = false;
     Ok(Prepared { facts, route, service, workspace, deadline, is_late, method, target, headers })
 }
 
-/// Copies headers out of the buffer that they were read into, which they would keep for as long as
-/// the request lasts.
-fn detached(headers: &HeaderMap) -> HeaderMap {
+/// Copies the headers into a buffer of their own. Otherwise they would keep the connection's whole
+/// read buffer alive until the request ends.
+fn copy_headers(headers: &HeaderMap) -> HeaderMap {
     let size_bytes = headers.values().map(HeaderValue::len).sum();
     let mut values = BytesMut::with_capacity(size_bytes);
     headers.values().for_each(|value| values.extend_from_slice(value.as_bytes()));
@@ -82,7 +91,7 @@
     let mut copied = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let bytes = values.split_to(value.len());
-        // What was a value is one again.
+        // Never fails: the bytes come from a valid header value.
         let Ok(value) = HeaderValue::from_maybe_shared(bytes) else { continue };
         copied.append(name.clone(), value);
     }
@@ -91,120 +100,135 @@
 
 /// The body of a caller's request.
 pub(super) enum RequestBody {
-    /// All of it is held, so that it can be sent more than once.
-    Held(Bytes),
-    /// It is sent on while it arrives, once.
+    /// The complete body is buffered, so that it can be sent more than once.
+    Buffered(Bytes),
+    /// The body is sent to one upstream while it arrives, and cannot be sent again.
     Streamed {
-        /// The body, until it is sent.
+        /// The body; `None` once it was sent or released.
         body: Option<Outgoing>,
-        /// Its length, where the caller stated it.
+        /// Length of the body, where the caller sent a `Content-Length`.
         size_bytes: Option<u64>,
     },
 }
 
 impl RequestBody {
-    /// Tells whether all of it is there for another attempt.
+    /// Returns whether the complete body is buffered, so that another attempt can send it.
     pub(super) fn is_held(&self) -> bool {
-        matches!(self, RequestBody::Held(_))
+        matches!(self, RequestBody::Buffered(_))
     }
 
-    /// Returns the body for an attempt and its length where the message must state it; `None`
-    /// where it was sent already.
+    /// Returns the body for an attempt, and the length that the attempt has to set as its
+    /// `Content-Length`. Returns `None` where a streamed body was sent already.
     pub(super) fn for_attempt(&mut self) -> Option<(Outgoing, Option<u64>)> {
         match self {
-            RequestBody::Held(bytes) => Some((body::whole(bytes.clone()), None)),
+            RequestBody::Buffered(bytes) => Some((body::whole(bytes.clone()), None)),
             RequestBody::Streamed { body, size_bytes } => Some((body.take()?, *size_bytes)),
         }
     }
 
-    /// Lets go of a body that is not sent again.
+    /// Frees the body, which is not sent again.
     pub(super) fn release(&mut self) {
         *self = RequestBody::Streamed { body: None, size_bytes: None };
     }
 }
 
-/// Reads a body, up to a size from which on it is sent on while it arrives.
+/// Reads a body into memory where it is at most [`MAX_BUFFERED_BODY_BYTES`] long. The rest of a
+/// longer body is read while the request is sent to an upstream.
+///
+/// # Errors
+///
+/// - `TooLarge`: the body exceeds the configured size limit.
+/// - `BodyTimeout`: no data arrived within the idle timeout.
+/// - `Malformed`: the connection failed, or the body's framing is invalid.
 pub(super) async fn read_body(
     mut incoming: Incoming,
     head: &HeaderMap,
     limits: &RequestLimits,
 ) -> Result<RequestBody, RefusalReason> {
     if incoming.is_end_stream() {
-        return Ok(RequestBody::Held(Bytes::new()));
+        return Ok(RequestBody::Buffered(Bytes::new()));
     }
     let size_bytes = incoming.size_hint().exact();
     if size_bytes.is_some_and(|size| size > limits.body_size_bytes) {
         return Err(RefusalReason::TooLarge);
     }
-    let expected = size_bytes.map_or(0, |size| size.min(HELD_BODY_SIZE_BYTES as u64));
-    let mut held = BytesMut::with_capacity(expected as usize);
-    while held.len() <= HELD_BODY_SIZE_BYTES {
+    let capacity = size_bytes.map_or(0, |size| size.min(MAX_BUFFERED_BODY_BYTES as u64));
+    let mut buffered = BytesMut::with_capacity(capacity as usize);
+    while buffered.len() <= MAX_BUFFERED_BODY_BYTES {
         let frame = tokio::time::timeout(limits.idle_timeout, incoming.frame())
             .await
             .map_err(|_| RefusalReason::BodyTimeout)?;
-        let Some(frame) = frame else { return Ok(RequestBody::Held(fitted(held))) };
+        let Some(frame) = frame else { return Ok(RequestBody::Buffered(freeze_exact(buffered))) };
         let frame = frame.map_err(|_| RefusalReason::Malformed)?;
-        // Trailers are for one connection only.
+        // Trailers are not forwarded: they apply to one connection only.
         let Ok(data) = frame.into_data() else { continue };
-        held.extend_from_slice(&data);
-        if held.len() as u64 > limits.body_size_bytes {
+        buffered.extend_from_slice(&data);
+        if buffered.len() as u64 > limits.body_size_bytes {
             return Err(RefusalReason::TooLarge);
         }
     }
     let has_length = head.contains_key(header::CONTENT_LENGTH);
-    let rest = Rest {
-        held: Some(held.freeze()),
+    let partial = PartialBody {
+        buffered: Some(buffered.freeze()),
         incoming,
-        left_bytes: limits.body_size_bytes,
+        remaining_bytes: limits.body_size_bytes,
         idle_timeout: limits.idle_timeout,
     };
     Ok(RequestBody::Streamed {
-        body: Some(rest.into_body()),
+        body: Some(partial.into_body()),
         size_bytes: size_bytes.filter(|_| has_length),
     })
 }
 
-/// Freezes a body without the room that it grew into.
-fn fitted(held: BytesMut) -> Bytes {
-    if held.len() == held.capacity() { held.freeze() } else { Bytes::copy_from_slice(&held) }
+/// Freezes a buffer; copies it where it has unused capacity, which it would otherwise keep.
+fn freeze_exact(buffered: BytesMut) -> Bytes {
+    if buffered.len() == buffered.capacity() {
+        buffered.freeze()
+    } else {
+        Bytes::copy_from_slice(&buffered)
+    }
 }
 
-/// A body of which the beginning is held and the rest still arrives.
-struct Rest {
-    held: Option<Bytes>,
+/// A body whose beginning is buffered while the rest is still arriving.
+struct PartialBody {
+    buffered: Option<Bytes>,
     incoming: Incoming,
-    left_bytes: u64,
+    remaining_bytes: u64,
     idle_timeout: Duration,
 }
 
-impl Rest {
+impl PartialBody {
+    /// Turns this into a body that sends the buffered beginning and then the rest as it arrives.
     fn into_body(self) -> Outgoing {
-        let frames = stream::unfold(Some(self), |rest| async move {
-            let mut rest = rest?;
-            match rest.next().await? {
-                Ok(data) => Some((Ok(Frame::data(data)), Some(rest))),
+        let frames = stream::unfold(Some(self), |partial| async move {
+            let mut partial = partial?;
+            match partial.next_data().await? {
+                Ok(data) => Some((Ok(Frame::data(data)), Some(partial))),
                 Err(error) => Some((Err(error), None)),
             }
         });
         StreamBody::new(frames).boxed_unsync()
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
-        let data = match self.held.take() {
-            Some(held) => held,
-            None => match self.arriving().await? {
+    /// Returns the next data to send, the buffered beginning first, or `None` at the end of the
+    /// body. Fails where the body exceeds its size limit.
+    async fn next_data(&mut self) -> Option<Result<Bytes, BodyError>> {
+        let data = match self.buffered.take() {
+            Some(buffered) => buffered,
+            None => match self.receive().await? {
                 Ok(data) => data,
                 Err(error) => return Some(Err(error)),
             },
         };
-        match self.left_bytes.checked_sub(data.len() as u64) {
-            Some(left) => self.left_bytes = left,
+        match self.remaining_bytes.checked_sub(data.len() as u64) {
+            Some(remaining) => self.remaining_bytes = remaining,
             None => return Some(Err(BodyError::TooLarge)),
         }
         Some(Ok(data))
     }
 
-    async fn arriving(&mut self) -> Option<Result<Bytes, BodyError>> {
+    /// Reads the next data from the caller, within the idle timeout.
+    async fn receive(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
             let frame = tokio::time::timeout(self.idle_timeout, self.incoming.frame()).await;
             let Ok(frame) = frame else { return Some(Err(BodyError::Deadline)) };
