--- a/teaselworks/src/relay/events.rs
+++ b/teaselworks/src/relay/events.rs
@@ -1,23 +1,24 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Largest part of an event that is held until its end arrives.
-const EVENT_SIZE_MAX_BYTES: usize = 1 << 20;
+/// Largest incomplete event that is buffered until its end arrives.
+const MAX_PARTIAL_EVENT_BYTES: usize = 1 << 20;
 
-/// Holds back the part of an event whose end has not arrived.
+/// Buffers an incomplete event until its end arrives, and passes on complete events only.
 ///
-/// Another engine that goes on after the last whole event sends the broken one again.
+/// Where a stream breaks off, another engine can resume it after the last complete event and sends
+/// the incomplete one again from its start.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    partial: BytesMut,
     last_id: Option<Box<str>>,
 }
 
 impl EventSplitter {
-    /// Takes what arrived and returns the events that are whole, as they were sent; `None` where an
-    /// event is too large to be held.
+    /// Adds received bytes and returns the events that are now complete, unchanged. The result is
+    /// empty where none is complete, and `None` where an incomplete event is larger than 1 MiB.
     ///
     /// ```
     /// use teaselworks::relay::EventSplitter;
@@ -28,35 +29,37 @@
     /// assert_eq!(splitter.push(b"data: b\n\n").unwrap(), "id: 2\ndata: b\n\n");
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        // The end of an event may lie across two arrivals.
-        let searched = self.held.len().saturating_sub(1);
-        self.held.extend_from_slice(bytes);
-        let Some(end) = memmem::rfind(&self.held[searched..], b"\n\n") else {
-            return (self.held.len() <= EVENT_SIZE_MAX_BYTES).then(Bytes::new);
+        // The blank line that ends an event may be split between two calls, so that the search
+        // starts one byte before the new bytes.
+        let search_start = self.partial.len().saturating_sub(1);
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = memmem::rfind(&self.partial[search_start..], b"\n\n") else {
+            return (self.partial.len() <= MAX_PARTIAL_EVENT_BYTES).then(Bytes::new);
         };
-        let whole = self.held.split_to(searched + end + 2).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.partial.split_to(search_start + end + 2).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id.into());
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Returns the identifier of the last whole event.
+    /// Returns the identifier of the last complete event that has one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Tells whether a part of an event is held.
+    /// Returns whether an incomplete event is buffered.
     pub fn holds_part(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Drops the part of an event that is held, since its end will not arrive.
+    /// Discards the incomplete event, whose end will not arrive.
     pub fn drop_part(&mut self) {
-        self.held.clear();
+        self.partial.clear();
     }
 }
 
+/// Returns the identifier in the last `id:` line of complete events.
 fn last_id(events: &[u8]) -> Option<&str> {
     let mut end = events.len();
     while let Some(start) = memmem::rfind(&events[..end], b"id:") {
