--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -1,4 +1,4 @@
-//! The count of a request at an upstream, which ends with its last user.
+//! Counts a request as in flight at an upstream until its attempt ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,40 +9,43 @@
 use super::Shared;
 use crate::event;
 
-/// A request that is counted at an upstream until this value is dropped.
+/// A request that counts as in flight at an upstream.
+///
+/// Dropping it ends the attempt: it reports the outcome and the duration to the fleet's state.
 pub(super) struct InFlight {
     shared: Arc<Shared>,
     service: Arc<str>,
     incarnation: Incarnation,
-    began: Duration,
+    started_at: Duration,
     outcome: Option<RequestOutcome>,
 }
 
 impl InFlight {
-    /// Takes over the count that placing made.
+    /// Takes over a placement, which already counted the request at its upstream.
     pub(super) fn new(shared: Arc<Shared>, service: Arc<str>, placement: &Placement) -> Self {
-        let began = shared.now();
+        let started_at = shared.now();
         let incarnation = placement.upstream.incarnation();
-        Self { shared, service, incarnation, began, outcome: None }
+        Self { shared, service, incarnation, started_at, outcome: None }
     }
 
-    /// Returns the upstream.
+    /// Returns the identifier of the upstream.
     pub(super) fn upstream(&self) -> &Arc<str> {
         &self.incarnation.id
     }
 
-    /// Notes what became of the request; without it nothing is learnt from it.
+    /// Sets the outcome of the request. Without one, the attempt says nothing about the health of
+    /// the upstream.
     pub(super) fn observe(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Notes that the answer has begun.
+    /// Records that the head of the answer arrived, and after what time.
     pub(super) fn first_byte(&self) {
         let now = self.shared.now();
-        self.shared.fleet().on_first_byte(now, &self.service, now.saturating_sub(self.began));
+        self.shared.fleet().on_first_byte(now, &self.service, now.saturating_sub(self.started_at));
     }
 
-    /// Takes what the upstream said of its load.
+    /// Records the load that the upstream reported with its answer.
     pub(super) fn report(&self, report: LoadReport) {
         let now = self.shared.now();
         self.shared.fleet().on_load_report(now, &self.service, &self.incarnation, report);
@@ -52,15 +55,15 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let held = now.saturating_sub(self.began);
-        let ejected = self.shared.fleet().on_attempt_end(
+        let elapsed = now.saturating_sub(self.started_at);
+        let is_ejected = self.shared.fleet().on_attempt_end(
             now,
             &self.service,
             &self.incarnation,
             self.outcome,
-            held,
+            elapsed,
         );
-        if ejected {
+        if is_ejected {
             self.shared.metrics.add_ejection();
             event::UPSTREAM_EJECTED.log(&[
                 event::text("upstream", &self.incarnation.id),
--- a/teaselworks/src/relay/outcome.rs
+++ b/teaselworks/src/relay/outcome.rs
@@ -1,4 +1,4 @@
-//! The end of a request: one log line and one count, whatever ends it.
+//! Logs and counts each request exactly once, however it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,41 +10,43 @@
 use super::body::BodyError;
 use crate::event;
 
-/// A request in progress. Dropped before its end was told, its caller has left.
+/// A request in progress.
+///
+/// One that is dropped before an end was recorded is counted as a caller that left.
 pub(super) struct Progress {
     shared: Arc<Shared>,
     id: Arc<str>,
     route: Option<(Arc<str>, Kind)>,
-    arrived: Duration,
-    first_byte_after: Option<Duration>,
+    arrived_at: Duration,
+    time_to_first_byte: Option<Duration>,
     has_ended: bool,
 }
 
 impl Progress {
-    /// Begins the count of a request.
+    /// Counts a request as in progress from now on.
     pub(super) fn begin(shared: Arc<Shared>, id: Arc<str>) -> Self {
         shared.metrics.add_in_progress(1);
-        let arrived = shared.now();
-        Self { shared, id, route: None, arrived, first_byte_after: None, has_ended: false }
+        let arrived_at = shared.now();
+        Self { shared, id, route: None, arrived_at, time_to_first_byte: None, has_ended: false }
     }
 
-    /// Notes the route that the request takes.
+    /// Sets the route of the request.
     pub(super) fn set_route(&mut self, name: Arc<str>, kind: Kind) {
         self.route = Some((name, kind));
     }
 
-    /// Records that the head of the answer is there.
+    /// Records the time from the arrival of the request to the head of its answer.
     pub(super) fn first_byte(&mut self) {
         let elapsed = self.elapsed();
-        self.first_byte_after = Some(elapsed);
+        self.time_to_first_byte = Some(elapsed);
         self.shared.metrics.record_first_byte(elapsed);
     }
 
-    /// Ends the request with an upstream's answer.
+    /// Ends the request with the complete answer of an upstream.
     pub(super) fn answered(mut self, status: u16, upstream: &str, attempts: u32) {
         self.has_ended = true;
         let elapsed = self.elapsed();
-        let first_byte = self.first_byte_after.unwrap_or(elapsed);
+        let first_byte = self.time_to_first_byte.unwrap_or(elapsed);
         if let Some((route, kind)) = &self.route {
             self.shared.metrics.add_answer(*kind, elapsed);
             self.shared.fleet().on_answered(route, elapsed);
@@ -60,7 +62,7 @@
         ]);
     }
 
-    /// Ends the request with an answer of the router's own.
+    /// Ends the request with a refusal by the router.
     pub(super) fn refused(mut self, refusal: &Refusal, attempts: u32, version: Option<u64>) {
         self.has_ended = true;
         self.shared.metrics.add_refusal(refusal);
@@ -78,7 +80,7 @@
         ]);
     }
 
-    /// Ends the request with a connection that is closed in the middle of the answer.
+    /// Ends the request with an incomplete answer; the caller's connection is closed.
     pub(super) fn broken(mut self, cause: BodyError, upstream: &str, attempts: u32) {
         self.has_ended = true;
         self.shared.metrics.add_broken_answer();
@@ -97,7 +99,7 @@
     }
 
     fn elapsed(&self) -> Duration {
-        self.shared.now().saturating_sub(self.arrived)
+        self.shared.now().saturating_sub(self.arrived_at)
     }
 }
 
