--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -11,7 +11,7 @@
 use teaselworks_policy::upstream::{Incarnation, Upstream};
 
 use super::Shared;
-use super::body::Outgoing;
+use super::body::OutgoingBody;
 use super::request::Prepared;
 use super::upstream_connection::Connection;
 use crate::platform::headers::{self, AnswerFacts, Passing};
@@ -42,7 +42,7 @@
     /// Sends the request and waits for the head of its answer until the request's time has passed.
     pub(super) async fn run(
         &mut self,
-        body: Outgoing,
+        body: OutgoingBody,
         size_bytes: Option<u64>,
     ) -> Result<Answer, Failure> {
         let remaining = self.prepared.deadline.remaining(self.shared.now());
@@ -56,7 +56,7 @@
 
     async fn exchange(
         &mut self,
-        body: Outgoing,
+        body: OutgoingBody,
         size_bytes: Option<u64>,
     ) -> Result<Answer, Failure> {
         let mut request = self.request(body, size_bytes);
@@ -95,8 +95,8 @@
     async fn send(
         &mut self,
         mut connection: Connection,
-        request: Request<Outgoing>,
-    ) -> Result<Result<Answer, Failure>, Box<Request<Outgoing>>> {
+        request: Request<OutgoingBody>,
+    ) -> Result<Result<Answer, Failure>, Box<Request<OutgoingBody>>> {
         if connection.sender.ready().await.is_err() {
             return Err(Box::new(request));
         }
@@ -118,7 +118,7 @@
         Ok(checked.map(|()| answer))
     }
 
-    fn request(&self, body: Outgoing, size_bytes: Option<u64>) -> Request<Outgoing> {
+    fn request(&self, body: OutgoingBody, size_bytes: Option<u64>) -> Request<OutgoingBody> {
         let prepared = self.prepared;
         let passing = Passing {
             upstream: &self.upstream.id,
--- a/teaselworks/src/relay/body.rs
+++ b/teaselworks/src/relay/body.rs
@@ -34,23 +34,23 @@
 impl std::error::Error for BodyError {}
 
 /// A body that the router sends to an upstream or a caller.
-pub(super) type Outgoing = UnsyncBoxBody<Bytes, BodyError>;
+pub(super) type OutgoingBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Creates a body from bytes that are already complete.
-pub(super) fn whole(bytes: Bytes) -> Outgoing {
+pub(super) fn whole(bytes: Bytes) -> OutgoingBody {
     Full::new(bytes).map_err(|infallible| match infallible {}).boxed_unsync()
 }
 
 /// A body that owns a guard. The guard is dropped together with the body, after the body was sent
 /// or when its connection ends.
 pub(super) struct GuardedBody<G> {
-    body: Outgoing,
+    body: OutgoingBody,
     _guard: G,
 }
 
 impl<G> GuardedBody<G> {
     /// Combines a body with its guard.
-    pub(super) fn new(body: Outgoing, guard: G) -> Self {
+    pub(super) fn new(body: OutgoingBody, guard: G) -> Self {
         Self { body, _guard: guard }
     }
 }
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -15,7 +15,7 @@
 use teaselworks_policy::deadline::Deadline;
 use teaselworks_policy::verdict::RefusalReason;
 
-use super::body::{self, BodyError, Outgoing};
+use super::body::{self, BodyError, OutgoingBody};
 use crate::platform::headers::{self, RequestFacts};
 
 /// Largest body that is buffered before the request is sent to an upstream, so that the request can
@@ -105,7 +105,7 @@
     /// The body is sent to one upstream while it arrives, and cannot be sent again.
     Streamed {
         /// The body; `None` once it was sent or released.
-        body: Option<Outgoing>,
+        body: Option<OutgoingBody>,
         /// Length of the body, where the caller sent a `Content-Length`.
         size_bytes: Option<u64>,
     },
@@ -119,7 +119,7 @@
 
     /// Returns the body for an attempt, and the length that the attempt has to set as its
     /// `Content-Length`. Returns `None` where a streamed body was sent already.
-    pub(super) fn for_attempt(&mut self) -> Option<(Outgoing, Option<u64>)> {
+    pub(super) fn for_attempt(&mut self) -> Option<(OutgoingBody, Option<u64>)> {
         match self {
             RequestBody::Buffered(bytes) => Some((body::whole(bytes.clone()), None)),
             RequestBody::Streamed { body, size_bytes } => Some((body.take()?, *size_bytes)),
@@ -199,7 +199,7 @@
 
 impl PartialBody {
     /// Turns this into a body that sends the buffered beginning and then the rest as it arrives.
-    fn into_body(self) -> Outgoing {
+    fn into_body(self) -> OutgoingBody {
         let frames = stream::unfold(Some(self), |partial| async move {
             let mut partial = partial?;
             match partial.next_data().await? {
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -13,7 +13,7 @@
 
 use super::Shared;
 use super::attempt::{Answer, Attempt};
-use super::body::{self, Outgoing};
+use super::body::{self, OutgoingBody};
 use super::in_flight::InFlight;
 use super::io::Activity;
 use super::outcome::Progress;
@@ -34,7 +34,7 @@
     shared: Arc<Shared>,
     request: Request<Incoming>,
     activity: &Activity,
-) -> Response<Outgoing> {
+) -> Response<OutgoingBody> {
     let (head, incoming) = request.into_parts();
     let facts = match headers::read_request(&head.headers) {
         Ok(facts) => facts,
@@ -84,7 +84,7 @@
     refusal: &Refusal,
     attempts: u32,
     version: Option<u64>,
-) -> Response<Outgoing> {
+) -> Response<OutgoingBody> {
     progress.refused(refusal, attempts, version);
     let status = StatusCode::from_u16(refusal.http_status());
     let mut response = Response::new(body::whole(Bytes::new()));
@@ -109,7 +109,7 @@
 }
 
 impl Serving {
-    async fn run(mut self, mut progress: Progress) -> Response<Outgoing> {
+    async fn run(mut self, mut progress: Progress) -> Response<OutgoingBody> {
         // The last failure that an upstream answered itself; it is passed on where nothing better
         // follows.
         let mut failed: Option<Whole> = None;
@@ -219,7 +219,7 @@
         progress: Progress,
         failed: Option<Whole>,
         refusal: Refusal,
-    ) -> Response<Outgoing> {
+    ) -> Response<OutgoingBody> {
         if let Some(whole) = failed.filter(|whole| !is_promise(whole.status)) {
             return self.pass_on(progress, whole);
         }
@@ -228,7 +228,7 @@
         refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
     }
 
-    fn pass_on(&self, progress: Progress, whole: Whole) -> Response<Outgoing> {
+    fn pass_on(&self, progress: Progress, whole: Whole) -> Response<OutgoingBody> {
         progress.answered(whole.status.as_u16(), &whole.upstream, self.attempts());
         let mut response = Response::new(body::whole(whole.bytes));
         *response.status_mut() = whole.status;
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -15,7 +15,7 @@
 
 use super::EventSplitter;
 use super::attempt::{Answer, Attempt};
-use super::body::{BodyError, Outgoing};
+use super::body::{BodyError, OutgoingBody};
 use super::in_flight::InFlight;
 use super::outcome::Progress;
 use super::serving::{Serving, symptom};
@@ -59,7 +59,7 @@
     streaming: Streaming,
     mut serving: Serving,
     progress: Progress,
-) -> Response<Outgoing> {
+) -> Response<OutgoingBody> {
     serving.release_request();
     let splitter = streaming.has_events().then(EventSplitter::default);
     let remaining = serving.prepared.deadline.remaining(serving.shared.now());
--- a/teaselworks/src/relay/upstream_connection.rs
+++ b/teaselworks/src/relay/upstream_connection.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-use super::body::Outgoing;
+use super::body::OutgoingBody;
 
 /// Longest idle time of a connection whose upstream does not say how long it keeps it.
 const UNSTATED_IDLE: Duration = Duration::from_secs(2);
@@ -44,7 +44,7 @@
 
 /// One connection to an upstream, which carries one request at a time.
 pub(super) struct Connection {
-    pub(super) sender: SendRequest<Outgoing>,
+    pub(super) sender: SendRequest<OutgoingBody>,
     keep_alive: Option<Duration>,
     handle: Handle,
     /// Releases the connection: tells its task what is to be kept with the stream.
