--- a/teaselworks/src/relay/body.rs
+++ b/teaselworks/src/relay/body.rs
@@ -37,7 +37,7 @@
 pub(super) type OutgoingBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Creates a body from bytes that are already complete.
-pub(super) fn whole(bytes: Bytes) -> OutgoingBody {
+pub(super) fn from_bytes(bytes: Bytes) -> OutgoingBody {
     Full::new(bytes).map_err(|infallible| match infallible {}).boxed_unsync()
 }
 
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -121,7 +121,7 @@
     /// `Content-Length`. Returns `None` where a streamed body was sent already.
     pub(super) fn for_attempt(&mut self) -> Option<(OutgoingBody, Option<u64>)> {
         match self {
-            RequestBody::Buffered(bytes) => Some((body::whole(bytes.clone()), None)),
+            RequestBody::Buffered(bytes) => Some((body::from_bytes(bytes.clone()), None)),
             RequestBody::Streamed { body, size_bytes } => Some((body.take()?, *size_bytes)),
         }
     }
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -87,7 +87,7 @@
 ) -> Response<OutgoingBody> {
     progress.refused(refusal, attempts, version);
     let status = StatusCode::from_u16(refusal.http_status());
-    let mut response = Response::new(body::whole(Bytes::new()));
+    let mut response = Response::new(body::from_bytes(Bytes::new()));
     *response.status_mut() = status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     *response.headers_mut() = headers::own_answer(id, refusal.retry_after);
     response
@@ -230,7 +230,7 @@
 
     fn pass_on(&self, progress: Progress, whole: Whole) -> Response<OutgoingBody> {
         progress.answered(whole.status.as_u16(), &whole.upstream, self.attempts());
-        let mut response = Response::new(body::whole(whole.bytes));
+        let mut response = Response::new(body::from_bytes(whole.bytes));
         *response.status_mut() = whole.status;
         *response.headers_mut() = whole.headers;
         response
