--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::Shared;
 use super::body::OutgoingBody;
-use super::request::Prepared;
+use super::request::PreparedRequest;
 use super::upstream_connection::Connection;
 use crate::platform::headers::{self, AnswerFacts, Passing};
 
@@ -28,7 +28,7 @@
 /// A request on its way to an upstream.
 pub(super) struct Attempt<'a> {
     pub(super) shared: &'a Arc<Shared>,
-    pub(super) prepared: &'a Prepared,
+    pub(super) prepared: &'a PreparedRequest,
     pub(super) upstream: &'a Upstream,
     /// Upstream that may hold more of the prompt.
     pub(super) holder: Option<SocketAddr>,
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -23,7 +23,7 @@
 const MAX_BUFFERED_BODY_BYTES: usize = 128 << 10;
 
 /// A request whose head passed all checks, with the route and service that it goes to.
-pub(super) struct Prepared {
+pub(super) struct PreparedRequest {
     pub(super) facts: RequestFacts,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
@@ -36,7 +36,7 @@
     pub(super) headers: HeaderMap,
 }
 
-impl Prepared {
+impl PreparedRequest {
     /// Returns the priority of the request: that of its workspace where it has one, otherwise that
     /// of its route.
     pub(super) fn priority(&self) -> u8 {
@@ -58,7 +58,7 @@
     facts: RequestFacts,
     configuration: &Configuration,
     now: Duration,
-) -> Result<Prepared, RefusalReason> {
+) -> Result<PreparedRequest, RefusalReason> {
     let host = headers::host(&head.headers, &head.uri).map_err(|_| RefusalReason::Malformed)?;
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
@@ -78,7 +78,17 @@
     let headers = copy_headers(&head.headers);
     let method = head.method;
     let is_late = false;
-    Ok(Prepared { facts, route, service, workspace, deadline, is_late, method, target, headers })
+    Ok(PreparedRequest {
+        facts,
+        route,
+        service,
+        workspace,
+        deadline,
+        is_late,
+        method,
+        target,
+        headers,
+    })
 }
 
 /// Copies the headers into a buffer of their own. Otherwise they would keep the connection's whole
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -11,13 +11,13 @@
 
 use super::Shared;
 use super::in_flight::InFlight;
-use super::request::{Prepared, RequestBody};
+use super::request::{PreparedRequest, RequestBody};
 use crate::event;
 
 /// A request that is being served.
 pub(super) struct Serving {
     pub(super) shared: Arc<Shared>,
-    pub(super) prepared: Prepared,
+    pub(super) prepared: PreparedRequest,
     pub(super) configuration: Arc<Configuration>,
     pub(super) body: RequestBody,
     tried: Vec<Arc<str>>,
@@ -27,7 +27,7 @@
 impl Serving {
     pub(super) fn new(
         shared: Arc<Shared>,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         configuration: Arc<Configuration>,
         body: RequestBody,
     ) -> Self {
