--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -123,7 +123,7 @@
 
 impl RequestBody {
     /// Returns whether the complete body is buffered, so that another attempt can send it.
-    pub(super) fn is_held(&self) -> bool {
+    pub(super) fn is_buffered(&self) -> bool {
         matches!(self, RequestBody::Buffered(_))
     }
 
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -65,7 +65,7 @@
         prepared.facts.deadline,
     );
     let body = request::read_body(incoming, &prepared.headers, &configuration.limits).await;
-    if body.as_ref().is_ok_and(RequestBody::is_held) {
+    if body.as_ref().is_ok_and(RequestBody::is_buffered) {
         activity.set_reusable(true);
     }
     match body {
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -106,7 +106,7 @@
         }
         let now = self.shared.now();
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
-        let tried_count = if self.body.is_held() { self.attempts() } else { u32::MAX };
+        let tried_count = if self.body.is_buffered() { self.attempts() } else { u32::MAX };
         let attempts = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
             tried_count,
@@ -157,7 +157,7 @@
         let remaining = self.prepared.deadline.remaining(now);
         let has_run_left = self.runs + 1 < route.max_attempts;
         route.is_idempotent()
-            && self.body.is_held()
+            && self.body.is_buffered()
             && has_run_left
             && remaining > route.target_latency
             && self.shared.fleet().try_take_retry(now, &self.prepared.service)
