--- a/teaselworks/src/relay/events.rs
+++ b/teaselworks/src/relay/events.rs
@@ -49,12 +49,12 @@
     }
 
     /// Returns whether an incomplete event is buffered.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
     /// Discards the incomplete event, whose end will not arrive.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.partial.clear();
     }
 }
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -182,7 +182,7 @@
     }
 
     fn has_part(&self) -> bool {
-        self.splitter.as_ref().is_some_and(EventSplitter::holds_part)
+        self.splitter.as_ref().is_some_and(EventSplitter::has_partial_event)
     }
 
     /// Goes on at another upstream after the last whole event.
@@ -192,7 +192,7 @@
             source.in_flight.observe(RequestOutcome::NoAnswer);
         }
         let Some(splitter) = &mut self.splitter else { return Err(BodyError::Broken) };
-        splitter.drop_part();
+        splitter.discard_partial_event();
         let last_id = splitter.last_id().map(str::to_owned);
         loop {
             self.serving.next(failure, true).map_err(|_| BodyError::Broken)?;
