--- a/teaselworks/src/relay/mod.rs
+++ b/teaselworks/src/relay/mod.rs
@@ -5,7 +5,7 @@
 mod caller;
 mod caller_connection;
 mod connections;
-mod events;
+mod event_splitter;
 mod in_flight;
 mod io;
 mod outcome;
@@ -18,5 +18,5 @@
 
 pub use self::caller::{CallerPort, OpenCallerConnections};
 pub use self::connections::Connections;
-pub use self::events::EventSplitter;
+pub use self::event_splitter::EventSplitter;
 pub use self::shared::Shared;
