--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -35,18 +35,18 @@
 
     /// Sets the outcome of the request. Without one, the attempt says nothing about the health of
     /// the upstream.
-    pub(super) fn observe(&mut self, outcome: RequestOutcome) {
+    pub(super) fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 
     /// Records that the head of the answer arrived, and after what time.
-    pub(super) fn first_byte(&self) {
+    pub(super) fn on_first_byte(&self) {
         let now = self.shared.now();
         self.shared.fleet().on_first_byte(now, &self.service, now.saturating_sub(self.started_at));
     }
 
     /// Records the load that the upstream reported with its answer.
-    pub(super) fn report(&self, report: LoadReport) {
+    pub(super) fn on_load_report(&self, report: LoadReport) {
         let now = self.shared.now();
         self.shared.fleet().on_load_report(now, &self.service, &self.incarnation, report);
     }
--- a/teaselworks/src/relay/outcome.rs
+++ b/teaselworks/src/relay/outcome.rs
@@ -36,7 +36,7 @@
     }
 
     /// Records the time from the arrival of the request to the head of its answer.
-    pub(super) fn first_byte(&mut self) {
+    pub(super) fn record_first_byte(&mut self) {
         let elapsed = self.elapsed();
         self.time_to_first_byte = Some(elapsed);
         self.shared.metrics.record_first_byte(elapsed);
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -162,14 +162,14 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => {
-                in_flight.observe(symptom(failure));
+                in_flight.set_outcome(symptom(failure));
                 return Received::Failed(failure, None);
             }
         };
-        progress.first_byte();
-        in_flight.first_byte();
+        progress.record_first_byte();
+        in_flight.on_first_byte();
         if let Some(load) = answer.facts.load {
-            in_flight.report(load);
+            in_flight.on_load_report(load);
         }
         let is_stream = self.prepared.route.kind == Kind::Stream && answer.status.is_success();
         if is_stream {
@@ -187,7 +187,7 @@
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) if !answer.connection.was_cut() => break,
                 Ok(None | Some(Err(_))) | Err(_) => {
-                    in_flight.observe(RequestOutcome::NoAnswer);
+                    in_flight.set_outcome(RequestOutcome::NoAnswer);
                     return Received::Failed(Failure::Broken, None);
                 }
             };
@@ -207,10 +207,10 @@
         let upstream = in_flight.upstream().clone();
         let whole = Whole { upstream, status, headers, bytes: bytes.freeze() };
         if !status.is_server_error() && !is_promise(status) {
-            in_flight.observe(RequestOutcome::Answered);
+            in_flight.set_outcome(RequestOutcome::Answered);
             return Received::Whole(whole);
         }
-        in_flight.observe(RequestOutcome::Error);
+        in_flight.set_outcome(RequestOutcome::Error);
         Received::Failed(Failure::Failed, Some(whole))
     }
 
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -189,7 +189,7 @@
     async fn resume(&mut self, mut failure: Failure) -> Result<(), BodyError> {
         // The connection is closed before another upstream goes on with the work.
         if let Some(mut source) = self.source.take() {
-            source.in_flight.observe(RequestOutcome::NoAnswer);
+            source.in_flight.set_outcome(RequestOutcome::NoAnswer);
         }
         let Some(splitter) = &mut self.splitter else { return Err(BodyError::Broken) };
         splitter.discard_partial_event();
@@ -211,18 +211,18 @@
             let answer = match attempt.run(body, size_bytes).await {
                 Ok(answer) if answer.status == self.status => answer,
                 Ok(_) => {
-                    in_flight.observe(RequestOutcome::Error);
+                    in_flight.set_outcome(RequestOutcome::Error);
                     failure = Failure::Failed;
                     continue;
                 }
                 Err(attempt_failure) => {
-                    in_flight.observe(symptom(attempt_failure));
+                    in_flight.set_outcome(symptom(attempt_failure));
                     failure = attempt_failure;
                     continue;
                 }
             };
             if let Some(load) = answer.facts.load {
-                in_flight.report(load);
+                in_flight.on_load_report(load);
             }
             let Answer { facts, body, connection, .. } = answer;
             self.source = Some(Source { body, connection, closes: facts.closes, in_flight });
@@ -235,7 +235,7 @@
         let Self { source, serving, progress, status, .. } = self;
         let Some(Source { mut in_flight, connection, closes, body }) = source else { return };
         drop(body);
-        in_flight.observe(RequestOutcome::Answered);
+        in_flight.set_outcome(RequestOutcome::Answered);
         let attempts = serving.attempts();
         progress.answered(status.as_u16(), in_flight.upstream(), attempts);
         if !closes {
@@ -248,7 +248,7 @@
         let Self { source, serving, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
         if let Some(mut source) = source.filter(|_| cause != BodyError::Deadline) {
-            source.in_flight.observe(RequestOutcome::NoAnswer);
+            source.in_flight.set_outcome(RequestOutcome::NoAnswer);
         }
         progress.broken(cause, upstream.as_deref().unwrap_or(""), serving.attempts());
     }
