--- a/teaselworks/src/relay/in_flight.rs
+++ b/teaselworks/src/relay/in_flight.rs
@@ -12,7 +12,7 @@
 /// A request that counts as in flight at an upstream.
 ///
 /// Dropping it ends the attempt: it reports the outcome and the duration to the fleet's state.
-pub(super) struct InFlight {
+pub(super) struct InFlightRequest {
     shared: Arc<Shared>,
     service: Arc<str>,
     incarnation: Incarnation,
@@ -20,7 +20,7 @@
     outcome: Option<RequestOutcome>,
 }
 
-impl InFlight {
+impl InFlightRequest {
     /// Takes over a placement, which already counted the request at its upstream.
     pub(super) fn new(shared: Arc<Shared>, service: Arc<str>, placement: &Placement) -> Self {
         let started_at = shared.now();
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let now = self.shared.now();
         let elapsed = now.saturating_sub(self.started_at);
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -14,7 +14,7 @@
 use super::Shared;
 use super::attempt::{Answer, Attempt};
 use super::body::{self, OutgoingBody};
-use super::in_flight::InFlight;
+use super::in_flight::InFlightRequest;
 use super::io::Activity;
 use super::outcome::Progress;
 use super::request::{self, RequestBody};
@@ -156,7 +156,7 @@
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
-        mut in_flight: InFlight,
+        mut in_flight: InFlightRequest,
         progress: &mut Progress,
     ) -> Received {
         let answer = match answer {
@@ -178,7 +178,7 @@
         self.read_whole(answer, in_flight).await
     }
 
-    async fn read_whole(&mut self, mut answer: Answer, mut in_flight: InFlight) -> Received {
+    async fn read_whole(&mut self, mut answer: Answer, mut in_flight: InFlightRequest) -> Received {
         let mut bytes = BytesMut::new();
         loop {
             let remaining = self.prepared.deadline.remaining(self.shared.now());
--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -10,7 +10,7 @@
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
 use super::Shared;
-use super::in_flight::InFlight;
+use super::in_flight::InFlightRequest;
 use super::request::{PreparedRequest, RequestBody};
 use crate::event;
 
@@ -94,8 +94,8 @@
     }
 
     /// Takes over the count of a placement.
-    pub(super) fn in_flight(&self, placement: &Placement) -> InFlight {
-        InFlight::new(self.shared.clone(), self.prepared.service.clone(), placement)
+    pub(super) fn in_flight(&self, placement: &Placement) -> InFlightRequest {
+        InFlightRequest::new(self.shared.clone(), self.prepared.service.clone(), placement)
     }
 
     /// Decides what follows a failed attempt, or a stream that broke off; a refusal where nothing
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -16,7 +16,7 @@
 use super::EventSplitter;
 use super::attempt::{Answer, Attempt};
 use super::body::{BodyError, OutgoingBody};
-use super::in_flight::InFlight;
+use super::in_flight::InFlightRequest;
 use super::outcome::Progress;
 use super::serving::{Serving, symptom};
 use super::upstream_connection::Connection;
@@ -37,12 +37,12 @@
     body: Incoming,
     connection: Connection,
     closes: bool,
-    in_flight: InFlight,
+    in_flight: InFlightRequest,
 }
 
 impl Streaming {
     /// Takes an answer of which `first` was read already.
-    pub(super) fn new(answer: Answer, in_flight: InFlight, first: Bytes) -> Self {
+    pub(super) fn new(answer: Answer, in_flight: InFlightRequest, first: Bytes) -> Self {
         let Answer { status, headers, facts, body, connection } = answer;
         let source = Source { body, connection, closes: facts.closes, in_flight };
         Self { status, headers, source, first }
