--- a/teaselworks/src/relay/outcome.rs
+++ b/teaselworks/src/relay/request_progress.rs
@@ -13,7 +13,7 @@
 /// A request in progress.
 ///
 /// One that is dropped before an end was recorded is counted as a caller that left.
-pub(super) struct Progress {
+pub(super) struct RequestProgress {
     shared: Arc<Shared>,
     id: Arc<str>,
     route: Option<(Arc<str>, Kind)>,
@@ -22,7 +22,7 @@
     has_ended: bool,
 }
 
-impl Progress {
+impl RequestProgress {
     /// Counts a request as in progress from now on.
     pub(super) fn begin(shared: Arc<Shared>, id: Arc<str>) -> Self {
         shared.metrics.add_in_progress(1);
@@ -103,7 +103,7 @@
     }
 }
 
-impl Drop for Progress {
+impl Drop for RequestProgress {
     fn drop(&mut self) {
         self.shared.metrics.add_in_progress(-1);
         if self.has_ended {
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -16,8 +16,8 @@
 use super::body::{self, OutgoingBody};
 use super::in_flight::InFlightRequest;
 use super::io::Activity;
-use super::outcome::Progress;
 use super::request::{self, RequestBody};
+use super::request_progress::RequestProgress;
 use super::serving::{Serving, symptom};
 use super::stream::{self, Streaming};
 use crate::platform::headers;
@@ -39,12 +39,12 @@
     let facts = match headers::read_request(&head.headers) {
         Ok(facts) => facts,
         Err(_) => {
-            let progress = Progress::begin(shared, "".into());
+            let progress = RequestProgress::begin(shared, "".into());
             return refuse(progress, None, &plain(RefusalReason::Malformed), 0, None);
         }
     };
     let id = facts.id.clone();
-    let mut progress = Progress::begin(shared.clone(), id.clone());
+    let mut progress = RequestProgress::begin(shared.clone(), id.clone());
     let Some(configuration) = shared.configuration().await else {
         let refusal = Refusal::not_run(RefusalReason::NoConfiguration, Some(START_RETRY));
         return refuse(progress, Some(&id), &refusal, 0, None);
@@ -79,7 +79,7 @@
 }
 
 fn refuse(
-    progress: Progress,
+    progress: RequestProgress,
     id: Option<&str>,
     refusal: &Refusal,
     attempts: u32,
@@ -109,7 +109,7 @@
 }
 
 impl Serving {
-    async fn run(mut self, mut progress: Progress) -> Response<OutgoingBody> {
+    async fn run(mut self, mut progress: RequestProgress) -> Response<OutgoingBody> {
         // The last failure that an upstream answered itself; it is passed on where nothing better
         // follows.
         let mut failed: Option<Whole> = None;
@@ -157,7 +157,7 @@
         &mut self,
         answer: Result<Answer, Failure>,
         mut in_flight: InFlightRequest,
-        progress: &mut Progress,
+        progress: &mut RequestProgress,
     ) -> Received {
         let answer = match answer {
             Ok(answer) => answer,
@@ -216,7 +216,7 @@
 
     fn give_up(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         failed: Option<Whole>,
         refusal: Refusal,
     ) -> Response<OutgoingBody> {
@@ -228,7 +228,7 @@
         refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
     }
 
-    fn pass_on(&self, progress: Progress, whole: Whole) -> Response<OutgoingBody> {
+    fn pass_on(&self, progress: RequestProgress, whole: Whole) -> Response<OutgoingBody> {
         progress.answered(whole.status.as_u16(), &whole.upstream, self.attempts());
         let mut response = Response::new(body::from_bytes(whole.bytes));
         *response.status_mut() = whole.status;
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use super::attempt::{Answer, Attempt};
 use super::body::{BodyError, OutgoingBody};
 use super::in_flight::InFlightRequest;
-use super::outcome::Progress;
+use super::request_progress::RequestProgress;
 use super::serving::{Serving, symptom};
 use super::upstream_connection::Connection;
 
@@ -58,7 +58,7 @@
 pub(super) fn respond(
     streaming: Streaming,
     mut serving: Serving,
-    progress: Progress,
+    progress: RequestProgress,
 ) -> Response<OutgoingBody> {
     serving.release_request();
     let splitter = streaming.has_events().then(EventSplitter::default);
@@ -109,7 +109,7 @@
     silence: Pin<Box<Sleep>>,
     last_at: Duration,
     serving: Serving,
-    progress: Progress,
+    progress: RequestProgress,
 }
 
 impl StreamRelay {
