--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -1,4 +1,5 @@
-//! What callers may send, and what they get for what they may not.
+//! How the router reads, checks and forwards the requests of callers, which requests it refuses,
+//! and how it limits the connections of callers.
 
 mod common;
 
@@ -11,8 +12,10 @@
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{Script, Step};
 
+/// Guards against forwarded requests that lose a part of what the caller sent, or that carry a
+/// caller's forged value of a header which only the router may set.
 #[tokio::test]
-async fn a_request_reaches_a_replica_unchanged_but_for_what_routers_add() {
+async fn requests_are_forwarded_unchanged_except_for_headers_of_the_router() {
     let fleet = fleet(1).await;
     let sent = request("POST", "/write/tag?of=verse%201", "0a1b")
         .with("X-Note", "kept")
@@ -43,8 +46,10 @@
     assert!(remaining <= 6_000, "{remaining}");
 }
 
+/// Guards against chunked bodies that lose bytes when they are read and framed again, also where
+/// chunks arrive one by one or carry chunk extensions.
 #[tokio::test]
-async fn a_chunked_body_arrives_whole() {
+async fn a_chunked_body_is_forwarded_completely() {
     let fleet = fleet(1).await;
     let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
     let head = format!(
@@ -60,8 +65,10 @@
     assert_eq!(seen[0].body.bytes, b"abcdefg");
 }
 
+/// Guards against the loss or reordering of bytes in a body that is too long to be buffered and is
+/// therefore forwarded while it arrives.
 #[tokio::test]
-async fn a_long_body_is_sent_on_whole() {
+async fn a_body_too_long_to_buffer_is_forwarded_completely() {
     let fleet = fleet(1).await;
     let body = "a verse and another ".repeat(30_000);
     let sent = request("POST", "/write/a", "long").body(&body);
@@ -71,8 +78,10 @@
     assert!(seen[0].body.is_whole);
 }
 
+/// Guards against requests that reach a replica although the router has to refuse them: an unknown
+/// route or host, no valid API key, a body that is too large, or invalid or duplicate headers.
 #[tokio::test]
-async fn what_the_configuration_does_not_allow_is_refused_and_does_not_run() {
+async fn requests_that_fail_a_check_are_refused_and_reach_no_replica() {
     let fleet = fleet(1).await;
     let address = fleet.routers[0].callers();
     let cases = [
@@ -92,11 +101,13 @@
         assert_eq!(reply.head.header("x-server-stamp"), None);
     }
     assert!(fleet.services.iter().all(|service| service.seen().is_empty()));
-    // What was refused has no effect on others.
+    // The refused requests have no effect on a valid one that follows.
     assert_eq!(call(address, &request("GET", "/read/a", "after")).await.unwrap().status(), 200);
 }
 
-/// Guards against a request hidden in the body of another by conflicting lengths.
+/// Guards against request smuggling: where a head states conflicting or invalid body lengths, the
+/// router and a replica could disagree where the body ends, and one of them could take a part of it
+/// for another request.
 #[tokio::test]
 async fn conflicting_lengths_smuggle_no_request() {
     let fleet = fleet(1).await;
@@ -125,8 +136,10 @@
     }
 }
 
+/// Guards against heads that are not HTTP, or larger than the limit, and get no answer or a wrong
+/// status.
 #[tokio::test]
-async fn heads_that_are_no_http_or_too_large_are_refused() {
+async fn invalid_or_too_large_heads_are_refused() {
     let fleet = fleet(1).await;
     let large =
         format!("GET /read/a HTTP/1.1\r\nHost: {HOST}\r\nX-Long: {}\r\n\r\n", "x".repeat(40_000));
@@ -137,7 +150,8 @@
     }
 }
 
-/// Guards against connections without a whole request that take every descriptor.
+/// Guards against connections that use up the file descriptors without a complete request: callers
+/// that send a head too slowly, and connections that stay idle.
 #[tokio::test]
 async fn slow_heads_and_idle_connections_are_closed() {
     let mut plan = Plan::default();
@@ -153,9 +167,10 @@
     assert!(!matches!(idle.head().await, Ok(Some(_))));
 }
 
-/// Guards against an idle connection that is closed by the timeout of heads.
+/// Guards against an idle connection that is closed after the header timeout, which applies only
+/// while a head is arriving.
 #[tokio::test]
-async fn a_connection_idle_within_its_timeout_is_used_again() {
+async fn a_connection_idle_for_less_than_the_idle_timeout_is_reused() {
     let mut plan = Plan::default();
     plan.value["limits"]["header_timeout_ms"] = json!(200);
     plan.value["limits"]["idle_timeout_ms"] = json!(20_000);
@@ -168,9 +183,10 @@
     }
 }
 
-/// Guards against replicas that work for callers that have left.
+/// Guards against replicas that keep working on a request whose caller has closed its connection,
+/// before the answer began or in the middle of a stream.
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work() {
+async fn a_caller_that_leaves_ends_its_request_at_the_replica() {
     let fleet = fleet(1).await;
     for engine in &fleet.engines {
         engine.set_behaviour(|seen| {
@@ -186,8 +202,8 @@
     assert!(streaming.head().await.unwrap().is_some());
     let mut waiting = Connection::open(address).await.unwrap();
     waiting.send(&request("POST", "/write/a", "b2")).await.unwrap();
-    let reached = || fleet.services.iter().any(|service| !service.seen().is_empty());
-    teaselworks_standin::fleet::until("the request is at a replica", async || reached())
+    let is_received = || fleet.services.iter().any(|service| !service.seen().is_empty());
+    teaselworks_standin::fleet::until("the request reached a replica", async || is_received())
         .await
         .unwrap();
     drop(streaming);
@@ -196,14 +212,16 @@
         let upstreams = fleet.engines.iter().chain(&fleet.services);
         upstreams.flat_map(|upstream| upstream.broken_off()).collect()
     };
-    teaselworks_standin::fleet::until("both are ended", async || broken_off().len() == 2)
+    teaselworks_standin::fleet::until("both requests ended", async || broken_off().len() == 2)
         .await
         .unwrap();
     fleet.routers[0].logged("caller_left", 2).await.unwrap();
 }
 
+/// Guards against an anonymous route that requires an API key, or that forwards a workspace header
+/// which the caller made up.
 #[tokio::test]
-async fn anonymous_routes_need_no_key_and_name_no_workspace() {
+async fn anonymous_routes_need_no_key_and_forward_no_workspace() {
     let mut plan = Plan::default();
     plan.find("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, plan, &json!({})).await;
@@ -213,8 +231,8 @@
     assert_eq!(seen[0].head.header("x-tenant"), None);
 }
 
-/// Starts a router again that may have few descriptors: 48 of them for callers.
-async fn with_few_descriptors(fleet: &mut Fleet) {
+/// Restarts the router with a limit of 64 file descriptors, of which callers may use 48.
+async fn restart_with_few_descriptors(fleet: &mut Fleet) {
     let router = &mut fleet.routers[0];
     router.signal(nix::sys::signal::Signal::SIGKILL).unwrap();
     router.ended().await.unwrap();
@@ -223,24 +241,27 @@
     router.ready().await.unwrap();
 }
 
-/// Guards against callers whose connections leave no descriptor to reach an upstream.
+/// Guards against connections of callers that use up the file descriptors, so that none is left to
+/// connect to an upstream: the router accepts no more than 48 callers, and the next one waits until
+/// one of them closes its connection.
 #[tokio::test]
 async fn callers_leave_descriptors_for_upstreams() {
     let mut fleet = fleet(1).await;
-    with_few_descriptors(&mut fleet).await;
+    restart_with_few_descriptors(&mut fleet).await;
     for service in &fleet.services {
         service.set_behaviour(|_| Script::of(vec![Step::Silence]));
     }
     let router = &fleet.routers[0];
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     for number in 0..48 {
         let mut connection = Connection::open(router.callers()).await.unwrap();
         connection.send(&request("POST", "/write/a", &format!("c{number}"))).await.unwrap();
-        open.push(connection);
+        connections.push(connection);
     }
     router.logged("request_placed", 48).await.unwrap();
-    // The event is logged before the request reaches a service. A request that arrives after the
-    // change of behaviour would be answered and its connection closed.
+    // The event is logged before the request reaches a service. A request that reached its service
+    // after the change of behaviour would be answered and its connection closed, and the late
+    // caller would not have to wait.
     let received = || fleet.services.iter().map(|service| service.seen().len()).sum::<usize>();
     teaselworks_standin::fleet::until("48 requests reached services", async || received() == 48)
         .await
@@ -250,53 +271,55 @@
     }
     let mut late = Connection::open(router.callers()).await.unwrap();
     late.send(&request("GET", "/read/a", "late")).await.unwrap();
-    let waiting = tokio::time::timeout(Duration::from_millis(300), late.reply()).await;
-    assert!(waiting.is_err(), "{waiting:?}");
-    drop(open.pop());
+    let early_reply = tokio::time::timeout(Duration::from_millis(300), late.reply()).await;
+    assert!(early_reply.is_err(), "{early_reply:?}");
+    drop(connections.pop());
     assert_eq!(late.reply().await.unwrap().unwrap().status(), 200);
 }
 
-/// Guards against requests that are read after their callers have left, since idle connections of
-/// others hold every descriptor.
+/// Guards against requests that wait to be accepted until their callers have left, because idle
+/// connections use all descriptors for callers. Once more than half of the 48 connections are open,
+/// the router closes each connection after its answer.
 #[tokio::test]
-async fn idle_callers_make_room_for_others() {
+async fn idle_connections_are_closed_to_accept_other_callers() {
     let mut fleet = fleet(1).await;
-    with_few_descriptors(&mut fleet).await;
+    restart_with_few_descriptors(&mut fleet).await;
     let router = &fleet.routers[0];
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     for number in 0..100 {
         let mut connection = Connection::open(router.callers()).await.unwrap();
         let sent = request("GET", "/read/a", &format!("c{number}"));
         let reply = connection.call(&sent).await.unwrap().unwrap();
         assert_eq!(reply.status(), 200);
         assert_eq!(reply.head.header("connection").is_some(), number >= 24, "{number}");
-        open.push(connection);
+        connections.push(connection);
     }
 }
 
-/// Guards against requests that are lost where they arrive together, or in parts, on one connection.
+/// Guards against lost requests where several arrive at once on one connection, or one arrives in
+/// two parts.
 #[tokio::test]
 async fn requests_that_arrive_together_or_in_parts_are_all_answered() {
     let fleet = fleet(1).await;
     let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
     let bytes: Vec<u8> =
         ["1", "2", "3"].iter().flat_map(|id| request("GET", "/read/a", id).bytes()).collect();
-    let in_third = bytes.len() - 20;
-    connection.write(&bytes[..in_third]).await.unwrap();
+    let split_at = bytes.len() - 20;
+    connection.write(&bytes[..split_at]).await.unwrap();
     for id in ["1", "2"] {
         let reply = connection.reply().await.unwrap().unwrap();
         assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some(id)));
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
-    connection.write(&bytes[in_third..]).await.unwrap();
+    connection.write(&bytes[split_at..]).await.unwrap();
     let reply = connection.reply().await.unwrap().unwrap();
     assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some("3")));
 }
 
-/// Guards against the rest of a body, of a request that was refused before it was read, taken for the
-/// next request.
+/// Guards against request smuggling through a refused request: the router refuses it before it
+/// reads the body, and could take the body that is still arriving for the next request.
 #[tokio::test]
-async fn the_rest_of_a_refused_body_is_no_request() {
+async fn the_unread_body_of_a_refused_request_is_not_run() {
     let fleet = fleet(1).await;
     let smuggled = request("POST", "/write/a", "smuggled").bytes();
     let head = format!(
@@ -307,7 +330,7 @@
     let mut connection = Connection::open(fleet.routers[0].callers()).await.unwrap();
     connection.write(head.as_bytes()).await.unwrap();
     assert_eq!(connection.reply().await.unwrap().unwrap().status(), 401);
-    // The router may have closed the connection.
+    // Errors are ignored: the router may have closed the connection already.
     let _ = connection.write(&smuggled).await;
     let _ = connection.reply().await;
     assert_eq!(fleet.services.iter().map(|service| service.runs("smuggled")).sum::<usize>(), 0);
