--- a/teaselworks/src/relay/caller_connection.rs
+++ b/teaselworks/src/relay/caller_connection.rs
@@ -85,20 +85,20 @@
     ///
     /// # Errors
     ///
-    /// Fails where hyper reports an error, for example a malformed head or a caller that
+    /// Fails if hyper reports an error, for example a malformed head or a caller that
     /// disconnects during a request.
     pub(super) async fn run(mut self, stream: TcpStream) -> io::Result<()> {
         let mut idle = IdleConnection { stream, unread: Bytes::new() };
         while !idle.unread.is_empty() || self.has_next_request(&idle.stream).await {
-            // Boxed, since this future would otherwise keep space for the boxed one while the
-            // connection is idle.
+            // Boxed, since the memory of the inner future would otherwise be part of this one and
+            // stay allocated while the connection is idle.
             let Some(next) = Box::pin(self.serve_requests(idle)).await? else { break };
             idle = next;
         }
         Ok(())
     }
 
-    /// Waits for bytes of the next request. Returns false where the connection is to be closed
+    /// Waits for bytes of the next request. Returns false if the connection is to be closed
     /// instead: its timeout expired, the router drains, or the socket failed.
     async fn has_next_request(&self, stream: &TcpStream) -> bool {
         loop {
@@ -133,7 +133,7 @@
         let io = CallerStream { unread, stream, activity: activity.clone(), clock };
         let counter = self.counter.clone();
         let service = service_fn(|request: Request<Incoming>| {
-            // Boxed, since hyper keeps the space of the future also while the answer is sent.
+            // Boxed, since hyper reserves space for the future also while it sends the answer.
             Box::pin(answer_request(shared.clone(), activity.clone(), counter.clone(), request))
         });
         let mut connection = http1::Builder::new()
@@ -201,7 +201,7 @@
     let guard = RequestGuard { shared: shared.clone(), activity: activity.clone() };
     let mut response = serve(shared.clone(), request, &activity).await;
     // A stopping router closes the connection after each answer, so that callers send their next
-    // request to another router. Where many connections are open, none stays open while idle.
+    // request to another router. While many connections are open, none stays open idle.
     let is_stopping = shared.shutdown.phase() > ShutdownPhase::Running;
     let must_close = is_stopping || counter.is_above_half_limit();
     if must_close {
--- a/teaselworks/src/relay/event_splitter.rs
+++ b/teaselworks/src/relay/event_splitter.rs
@@ -8,8 +8,8 @@
 
 /// Buffers an incomplete event until its end arrives, and passes on complete events only.
 ///
-/// Where a stream breaks off, another engine can resume it after the last complete event and sends
-/// the incomplete one again from its start.
+/// If a stream breaks off, another engine can resume it after the last complete event. That engine
+/// sends the incomplete event again from its start.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -18,7 +18,7 @@
 
 impl EventSplitter {
     /// Adds received bytes and returns the events that are now complete, unchanged. The result is
-    /// empty where none is complete, and `None` where an incomplete event is larger than 1 MiB.
+    /// empty if none is complete, and `None` if an incomplete event is larger than 1 MiB.
     ///
     /// ```
     /// use teaselworks::relay::EventSplitter;
--- a/teaselworks/src/relay/io.rs
+++ b/teaselworks/src/relay/io.rs
@@ -20,7 +20,7 @@
 pub(super) struct Activity {
     /// Time at which the last request ended, or the connection was opened.
     idle_since_ms: AtomicU64,
-    /// Time at which the first byte of an incomplete head arrived; 0 where there is none.
+    /// Time at which the first byte of an incomplete head arrived; 0 if there is none.
     head_since_ms: AtomicU64,
     /// 1 while a request is in progress, otherwise 0.
     active_requests: AtomicU64,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Records that the head of a request has arrived completely. `is_reusable` is set where no
-    /// body follows the head.
+    /// Records that the head of a request has arrived completely. `is_reusable` is set if no body
+    /// follows the head.
     pub(super) fn start_request(&self, is_reusable: bool) {
         self.head_since_ms.store(0, Ordering::Relaxed);
         self.active_requests.store(1, Ordering::Relaxed);
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -37,8 +37,8 @@
 }
 
 impl PreparedRequest {
-    /// Returns the priority of the request: that of its workspace where it has one, otherwise that
-    /// of its route.
+    /// Returns the priority of the request: that of its workspace if it has one, otherwise that of
+    /// its route.
     pub(super) fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         workspace.unwrap_or(self.route.priority)
@@ -116,7 +116,7 @@
     Streamed {
         /// The body; `None` once it was sent or released.
         body: Option<OutgoingBody>,
-        /// Length of the body, where the caller sent a `Content-Length`.
+        /// Length of the body, if the caller sent a `Content-Length`.
         size_bytes: Option<u64>,
     },
 }
@@ -128,7 +128,7 @@
     }
 
     /// Returns the body for an attempt, and the length that the attempt has to set as its
-    /// `Content-Length`. Returns `None` where a streamed body was sent already.
+    /// `Content-Length`. Returns `None` if a streamed body was sent already.
     pub(super) fn for_attempt(&mut self) -> Option<(OutgoingBody, Option<u64>)> {
         match self {
             RequestBody::Buffered(bytes) => Some((body::from_bytes(bytes.clone()), None)),
@@ -142,7 +142,7 @@
     }
 }
 
-/// Reads a body into memory where it is at most [`MAX_BUFFERED_BODY_BYTES`] long. The rest of a
+/// Reads a body into memory if it is at most [`MAX_BUFFERED_BODY_BYTES`] long. The rest of a
 /// longer body is read while the request is sent to an upstream.
 ///
 /// # Errors
@@ -190,7 +190,7 @@
     })
 }
 
-/// Freezes a buffer; copies it where it has unused capacity, which it would otherwise keep.
+/// Freezes a buffer; copies it if it has unused capacity, which it would otherwise keep.
 fn freeze_exact(buffered: BytesMut) -> Bytes {
     if buffered.len() == buffered.capacity() {
         buffered.freeze()
@@ -221,7 +221,7 @@
     }
 
     /// Returns the next data to send, the buffered beginning first, or `None` at the end of the
-    /// body. Fails where the body exceeds its size limit.
+    /// body. Fails if the body exceeds its size limit.
     async fn next_data(&mut self) -> Option<Result<Bytes, BodyError>> {
         let data = match self.buffered.take() {
             Some(buffered) => buffered,
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -46,8 +46,8 @@
     assert!(remaining <= 6_000, "{remaining}");
 }
 
-/// Guards against chunked bodies that lose bytes when they are read and framed again, also where
-/// chunks arrive one by one or carry chunk extensions.
+/// Guards against chunked bodies that lose bytes when they are read and framed again: the chunks
+/// arrive one by one, and one has a chunk extension.
 #[tokio::test]
 async fn a_chunked_body_is_forwarded_completely() {
     let fleet = fleet(1).await;
@@ -105,9 +105,9 @@
     assert_eq!(call(address, &request("GET", "/read/a", "after")).await.unwrap().status(), 200);
 }
 
-/// Guards against request smuggling: where a head states conflicting or invalid body lengths, the
-/// router and a replica could disagree where the body ends, and one of them could take a part of it
-/// for another request.
+/// Guards against request smuggling: if a head states conflicting or invalid body lengths, the
+/// router and a replica could disagree on where the body ends, and one of them could take a part of
+/// it for another request.
 #[tokio::test]
 async fn conflicting_lengths_smuggle_no_request() {
     let fleet = fleet(1).await;
@@ -296,7 +296,7 @@
     }
 }
 
-/// Guards against lost requests where several arrive at once on one connection, or one arrives in
+/// Guards against lost requests when several arrive at once on one connection, or one arrives in
 /// two parts.
 #[tokio::test]
 async fn requests_that_arrive_together_or_in_parts_are_all_answered() {
