--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use teaselworks_standin::caller::Call;
-use teaselworks_standin::configuration::{HOST, KEY, Plan};
+use teaselworks_standin::configuration::{API_KEY, HOST, TestConfiguration};
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::router::Program;
 
@@ -19,21 +19,21 @@
 }
 
 /// Starts a fleet with a configuration and bounds of its own.
-pub async fn fleet_with(routers: usize, plan: Plan, bounds: &Value) -> Fleet {
-    let started = Fleet::start_with(program(), routers, plan, bounds).await;
+pub async fn fleet_with(routers: usize, configuration: TestConfiguration, bounds: &Value) -> Fleet {
+    let started = Fleet::start_with(program(), routers, configuration, bounds).await;
     started.unwrap_or_else(|error| panic!("{error}"))
 }
 
 /// Returns a request with a key and a deadline.
 pub fn request(method: &str, target: &str, id: &str) -> Call {
-    Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "6000")
+    Call::new(method, HOST, target, id).with_api_key(API_KEY).with_header("X-Deadline-Ms", "6000")
 }
 
 /// Returns a request whose prompt shares a part with others of the same chat.
 pub fn chat(target: &str, id: &str, chat: u64) -> Call {
     request("POST", target, id)
-        .with("X-Model", "m")
-        .with("X-Token-Usage", "1000,50")
-        .with("X-Prompt-Prefix", &format!("a:100,{chat:x}:800,{id}:100"))
-        .body("Which verse is older?")
+        .with_header("X-Model", "m")
+        .with_header("X-Token-Usage", "1000,50")
+        .with_header("X-Prompt-Prefix", &format!("a:100,{chat:x}:800,{id}:100"))
+        .with_body("Which verse is older?")
 }
--- a/teaselworks/tests/golden.rs
+++ b/teaselworks/tests/golden.rs
@@ -29,17 +29,18 @@
     }
 
     async fn send(&mut self, sent: Call) {
-        let known: Vec<usize> = self.upstreams().map(|upstream| upstream.seen().len()).collect();
-        let reply = call(self.fleet.routers[0].callers(), &sent).await.unwrap();
+        let known: Vec<usize> =
+            self.upstreams().map(|upstream| upstream.received_requests().len()).collect();
+        let reply = call(self.fleet.routers[0].callers_address(), &sent).await.unwrap();
         self.text.push_str(&format!("\n> {} {}\n", sent.method, sent.target));
         let mut lines = Vec::new();
         for (upstream, known) in self.upstreams().zip(known) {
-            for seen in upstream.seen().into_iter().skip(known) {
+            for received in upstream.received_requests().into_iter().skip(known) {
                 let kind = upstream.id.split('-').next().unwrap_or_default();
-                let (method, target) = seen.target();
+                let (method, target) = received.target();
                 lines.push((
-                    seen.has_run,
-                    format!("  {kind} gets {method} {target}\n{}", shown(&seen.head, "    ")),
+                    received.has_run,
+                    format!("  {kind} gets {method} {target}\n{}", shown(&received.head, "    ")),
                 ));
             }
         }
@@ -104,7 +105,7 @@
 
     let mut session = Session::new("plain", "A plain call, and what may not pass.", &fleet);
     session.send(request("GET", "/read/a?b=c", "1")).await;
-    session.send(request("POST", "/write/a", "2").body("a tag")).await;
+    session.send(request("POST", "/write/a", "2").with_body("a tag")).await;
     session.send(Call::new("GET", HOST, "/read/a", "3")).await;
     session.send(request("GET", "/elsewhere/a", "4")).await;
     differences.extend(session.check());
@@ -115,13 +116,13 @@
 
     let mut session = Session::new("resumed", "A stream that goes on at another engine.", &fleet);
     for engine in &fleet.engines {
-        engine.set_behaviour(|seen| {
+        engine.set_behaviour(|received| {
             let last: Option<u32> =
-                seen.head.header("last-event-id").and_then(|id| id.parse().ok());
+                received.head.header("last-event-id").and_then(|id| id.parse().ok());
             let gap = std::time::Duration::from_millis(1);
             match last {
-                Some(last) => Script::stream(seen, last + 1..5, gap, true),
-                None => Script::stream(seen, 1..3, gap, false)
+                Some(last) => Script::stream(received, last + 1..5, gap, true),
+                None => Script::stream(received, 1..3, gap, false)
                     .then(Step::Write(chunk("id: 3\ndat")))
                     .then(Step::Close),
             }
@@ -135,11 +136,11 @@
     for service in &fleet.services {
         service.set_behaviour(Script::rejected);
     }
-    session.send(request("POST", "/write/a", "7").body("a tag")).await;
+    session.send(request("POST", "/write/a", "7").with_body("a tag")).await;
     for service in &fleet.services {
-        service.set_behaviour(|_| Script::of(vec![Step::Close]));
+        service.set_behaviour(|_| Script::from_steps(vec![Step::Close]));
     }
-    session.send(request("POST", "/write/a", "8").body("a tag")).await;
+    session.send(request("POST", "/write/a", "8").with_body("a tag")).await;
     differences.extend(session.check());
 
     assert!(differences.is_empty(), "sessions differ:\n{}", differences.join("\n"));
--- a/teaselworks/tests/stop.rs
+++ b/teaselworks/tests/stop.rs
@@ -8,14 +8,14 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use teaselworks_standin::caller::{Call, Connection, call};
-use teaselworks_standin::configuration::{HOST, KEY};
-use teaselworks_standin::fleet::until;
+use teaselworks_standin::configuration::{API_KEY, HOST};
+use teaselworks_standin::fleet::wait_until;
 use teaselworks_standin::proxy::Proxy;
 use teaselworks_standin::upstream::Script;
 
 /// Returns a request with a deadline shorter than the grace period of a planned stop.
 fn short_request(id: &str) -> Call {
-    Call::new("GET", HOST, "/read/a", id).key(KEY).with("X-Deadline-Ms", "1500")
+    Call::new("GET", HOST, "/read/a", id).with_api_key(API_KEY).with_header("X-Deadline-Ms", "1500")
 }
 
 /// Guards against a planned stop that cuts a stream in progress, closes a connection without an
@@ -24,37 +24,41 @@
 async fn a_planned_stop_finishes_requests_in_progress() {
     let mut fleet = fleet(1).await;
     for engine in &fleet.engines {
-        engine.set_behaviour(|seen| Script::stream(seen, 1..41, Duration::from_millis(100), true));
+        engine.set_behaviour(|received| {
+            Script::stream(received, 1..41, Duration::from_millis(100), true)
+        });
     }
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
     streaming.send(&chat("/chat/a", "a1", 1)).await.unwrap();
-    assert!(streaming.head().await.unwrap().is_some());
+    assert!(streaming.read_head().await.unwrap().is_some());
     let mut idle = Connection::open(address).await.unwrap();
     assert_eq!(idle.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
 
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
-    fleet.routers[0].logged("stop_requested", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("stop_requested", 1).await.unwrap();
     assert!(!fleet.routers[0].is_ready().await);
     let reply = idle.call(&request("GET", "/read/a", "2")).await.unwrap().unwrap();
     assert_eq!(reply.status(), 200);
     assert_eq!(reply.head.header("connection"), Some("close"));
     assert_eq!(call(address, &request("GET", "/read/a", "3")).await.unwrap().status(), 200);
-    until("the router is no longer registered", async || fleet.store.keys("routers/").is_empty())
-        .await
-        .unwrap();
+    wait_until("the router is no longer registered", async || {
+        fleet.store.keys("routers/").is_empty()
+    })
+    .await
+    .unwrap();
 
-    fleet.routers[0].logged("finishing", 1).await.unwrap();
+    fleet.routers[0].wait_for_events("finishing", 1).await.unwrap();
     let short = call(address, &short_request("4")).await.unwrap();
     assert_eq!((short.status(), short.head.header("connection")), (200, Some("close")));
     let refused = call(address, &chat("/chat/a", "a2", 2)).await.unwrap();
     assert_eq!(refused.status(), 503);
     assert!(refused.head.header("retry-after").is_some_and(|after| after != "0.000"));
-    assert_eq!(fleet.engines.iter().map(|engine| engine.runs("a2")).sum::<usize>(), 0);
-    let mut answered = fleet.routers[0].logged("request_answered", 5).await.unwrap();
+    assert_eq!(fleet.engines.iter().map(|engine| engine.run_count("a2")).sum::<usize>(), 0);
+    let mut answered = fleet.routers[0].wait_for_events("request_answered", 5).await.unwrap();
     let stream = answered.pop().unwrap();
     assert_eq!((stream["request"].as_str(), stream["status"].as_u64()), (Some("a1"), Some(200)));
-    assert!(fleet.routers[0].ended().await.unwrap().success());
+    assert!(fleet.routers[0].wait_for_exit().await.unwrap().success());
 }
 
 /// Guards against requests that every router refuses when all routers stop at the same time: each
@@ -63,9 +67,11 @@
 async fn callers_are_served_while_every_router_stops() {
     let mut fleet = fleet(2).await;
     for engine in &fleet.engines {
-        engine.set_behaviour(|seen| Script::stream(seen, 1..46, Duration::from_millis(100), true));
+        engine.set_behaviour(|received| {
+            Script::stream(received, 1..46, Duration::from_millis(100), true)
+        });
     }
-    let addresses: Vec<_> = fleet.routers.iter().map(|router| router.callers()).collect();
+    let addresses: Vec<_> = fleet.routers.iter().map(|router| router.callers_address()).collect();
     let mut streams = Vec::new();
     for (number, address) in addresses.iter().copied().enumerate() {
         let sent = chat("/chat/a", &format!("s{number}"), 1);
@@ -76,7 +82,7 @@
         router.signal(Signal::SIGTERM).unwrap();
     }
     for router in &fleet.routers {
-        router.logged("finishing", 1).await.unwrap();
+        router.wait_for_events("finishing", 1).await.unwrap();
     }
     for turn in 0..20 {
         let address = addresses[turn % addresses.len()];
@@ -88,8 +94,8 @@
         assert_eq!(stream.await.unwrap().unwrap().events().len(), 45);
     }
     for router in &mut fleet.routers {
-        assert!(router.ended().await.unwrap().success());
-        assert_eq!(router.logged("router_stopped", 1).await.unwrap()[0]["cut"], 0);
+        assert!(router.wait_for_exit().await.unwrap().success());
+        assert_eq!(router.wait_for_events("router_stopped", 1).await.unwrap()[0]["cut"], 0);
     }
 }
 
@@ -99,8 +105,8 @@
 async fn an_idle_router_stops_before_its_grace_period_ends() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGTERM).unwrap();
-    assert!(fleet.routers[0].ended().await.unwrap().success());
-    let stopped = fleet.routers[0].logged("router_stopped", 1).await.unwrap();
+    assert!(fleet.routers[0].wait_for_exit().await.unwrap().success());
+    let stopped = fleet.routers[0].wait_for_events("router_stopped", 1).await.unwrap();
     assert_eq!(stopped[0]["cut"], 0);
 }
 
@@ -110,10 +116,11 @@
 async fn a_killed_router_serves_again_after_a_restart() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
-    fleet.routers[0].ended().await.unwrap();
+    fleet.routers[0].wait_for_exit().await.unwrap();
     fleet.routers[0].spawn().unwrap();
-    fleet.routers[0].ready().await.unwrap();
-    let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
+    fleet.routers[0].wait_until_ready().await.unwrap();
+    let reply =
+        call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
 }
 
@@ -123,7 +130,7 @@
 async fn a_request_during_the_start_waits_for_the_first_configuration() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGKILL).unwrap();
-    fleet.routers[0].ended().await.unwrap();
+    fleet.routers[0].wait_for_exit().await.unwrap();
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     proxy.set_frozen(true);
     let platform = json!(proxy.address());
@@ -131,9 +138,9 @@
         .change_settings(|settings| settings["platform"]["address"] = platform)
         .unwrap();
     fleet.routers[0].spawn().unwrap();
-    let address = fleet.routers[0].callers();
+    let address = fleet.routers[0].callers_address();
     let mut opened = None;
-    until("the port is open", async || {
+    wait_until("the port is open", async || {
         opened = Connection::open(address).await.ok();
         opened.is_some()
     })
@@ -143,7 +150,7 @@
     connection.send(&request("GET", "/read/a", "1")).await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     proxy.set_frozen(false);
-    assert_eq!(connection.reply().await.unwrap().unwrap().status(), 200);
+    assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), 200);
 }
 
 /// Guards against settings that are not reloaded on SIGHUP or on a change of the file, and against
@@ -152,19 +159,20 @@
 async fn settings_are_reloaded_on_sighup_and_on_file_changes() {
     let mut fleet = fleet(1).await;
     fleet.routers[0].signal(Signal::SIGHUP).unwrap();
-    let reloaded = fleet.routers[0].logged("settings_reloaded", 1).await.unwrap();
+    let reloaded = fleet.routers[0].wait_for_events("settings_reloaded", 1).await.unwrap();
     assert_eq!(reloaded[0]["changed"], "false");
     fleet.routers[0]
         .change_settings(|settings| settings["bounds"]["retry_ratio"] = json!(-1))
         .unwrap();
-    let refused = fleet.routers[0].logged("settings_refused", 1).await.unwrap();
+    let refused = fleet.routers[0].wait_for_events("settings_refused", 1).await.unwrap();
     assert!(refused[0]["faults"].as_str().unwrap().contains("bounds.retry_ratio"));
     fleet.routers[0]
         .change_settings(|settings| settings["bounds"]["retry_ratio"] = json!(0.1))
         .unwrap();
-    let reloaded = fleet.routers[0].logged("settings_reloaded", 2).await.unwrap();
+    let reloaded = fleet.routers[0].wait_for_events("settings_reloaded", 2).await.unwrap();
     assert_eq!(reloaded[1]["changed"], "true");
-    let reply = call(fleet.routers[0].callers(), &request("GET", "/read/a", "1")).await.unwrap();
+    let reply =
+        call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
     assert_eq!(reply.status(), 200);
 }
 
@@ -173,8 +181,8 @@
 #[tokio::test]
 async fn the_metrics_page_lists_every_reason() {
     let fleet = fleet(1).await;
-    call(fleet.routers[0].callers(), &request("GET", "/nowhere/", "1")).await.unwrap();
-    call(fleet.routers[0].callers(), &request("GET", "/read/a", "2")).await.unwrap();
+    call(fleet.routers[0].callers_address(), &request("GET", "/nowhere/", "1")).await.unwrap();
+    call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "2")).await.unwrap();
     let page = fleet.routers[0].metrics().await.unwrap();
     let page = page.replace(",otel_scope_name=\"teaselworks\"", "");
     let page = page.replace("{otel_scope_name=\"teaselworks\"}", "");
--- a/teaselworks_standin/src/soak/callers.rs
+++ b/teaselworks_standin/src/soak/callers.rs
@@ -15,7 +15,7 @@
 use super::fleet::{SoakFleet, event_count, response_body, version_route_prefix};
 use super::record::{Bug, Outcome, Recorder, RequestKind, RequestRecord, VersionProbe};
 use crate::caller::{Call, Connection, Reply};
-use crate::configuration::{HOST, KEY};
+use crate::configuration::{API_KEY, HOST};
 
 /// Deadline that callers send with a request.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(3_000);
@@ -70,7 +70,7 @@
     let stop = CancellationToken::new();
     let caller = |number: usize| Caller {
         number,
-        routers: fleet.routers.iter().map(|router| router.process.callers()).collect(),
+        routers: fleet.routers.iter().map(|router| router.process.callers_address()).collect(),
         restart_counts: fleet.routers.iter().map(|router| router.restart_count.clone()).collect(),
         newest_version: fleet.newest_version.clone(),
         recorder: recorder.clone(),
@@ -166,8 +166,8 @@
             let id = format!("l{}n{}", self.number, self.request_count);
             let call =
                 Call::new("GET", HOST, &format!("{}look", version_route_prefix(version)), &id)
-                    .key(KEY)
-                    .with("X-Deadline-Ms", "1000");
+                    .with_api_key(API_KEY)
+                    .with_header("X-Deadline-Ms", "1000");
             let sent_at = self.recorder.now();
             let reply = tokio::time::timeout(REQUEST_DEADLINE, connection.call(&call)).await;
             let Ok(Ok(Some(reply))) = reply else { continue };
@@ -194,18 +194,18 @@
 fn build_call(kind: RequestKind, id: &str, chat_number: u32) -> Call {
     let method = if kind == RequestKind::Read { "GET" } else { "POST" };
     let call = Call::new(method, HOST, &format!("{}a", kind.prefix()), id)
-        .key(KEY)
-        .with("X-Deadline-Ms", &REQUEST_DEADLINE.as_millis().to_string());
+        .with_api_key(API_KEY)
+        .with_header("X-Deadline-Ms", &REQUEST_DEADLINE.as_millis().to_string());
     if !kind.is_stream() {
         return call;
     }
-    call.with("X-Model", "m")
-        .with("X-Token-Usage", "1000,50")
-        .with(
+    call.with_header("X-Model", "m")
+        .with_header("X-Token-Usage", "1000,50")
+        .with_header(
             "X-Prompt-Prefix",
             &format!("a:100,{:x}:800,{:x}:100", chat_number + 16, chat_number + 4_096),
         )
-        .body("Which verse is older?")
+        .with_body("Which verse is older?")
 }
 
 /// Returns whether the headers of a reply, and the events of a stream, name the request.
@@ -235,7 +235,7 @@
         {
             let id = format!("last{number}n{count}");
             let call = build_call(kind, &id, count as u32);
-            let reply = crate::caller::call(router.process.callers(), &call).await;
+            let reply = crate::caller::call(router.process.callers_address(), &call).await;
             let is_served = reply.is_ok_and(|reply| {
                 let has_all_events = !kind.is_stream()
                     || event_ids(&reply.text()).len() == event_count(&id) as usize;
@@ -253,8 +253,8 @@
             &format!("{}last", version_route_prefix(newest_version)),
             "newest",
         )
-        .key(KEY);
-        let reply = crate::caller::call(router.process.callers(), &call).await;
+        .with_api_key(API_KEY);
+        let reply = crate::caller::call(router.process.callers_address(), &call).await;
         if !reply.is_ok_and(|reply| reply.status() == 200) {
             let details = format!(
                 "router-{number} does not serve the route of configuration version {newest_version}"
