--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -13,11 +13,11 @@
 
 use super::Shared;
 use super::attempt::{Answer, Attempt};
-use super::body::{self, Outgoing};
-use super::in_flight::InFlight;
+use super::body::{self, OutgoingBody};
+use super::in_flight::InFlightRequest;
 use super::io::Activity;
-use super::outcome::Progress;
 use super::request::{self, RequestBody};
+use super::request_progress::RequestProgress;
 use super::serving::{Serving, symptom};
 use super::stream::{self, Streaming};
 use crate::platform::headers;
@@ -34,17 +34,17 @@
     shared: Arc<Shared>,
     request: Request<Incoming>,
     activity: &Activity,
-) -> Response<Outgoing> {
+) -> Response<OutgoingBody> {
     let (head, incoming) = request.into_parts();
     let facts = match headers::read_request(&head.headers) {
         Ok(facts) => facts,
         Err(_) => {
-            let progress = Progress::begin(shared, "".into());
+            let progress = RequestProgress::begin(shared, "".into());
             return refuse(progress, None, &plain(RefusalReason::Malformed), 0, None);
         }
     };
     let id = facts.id.clone();
-    let mut progress = Progress::begin(shared.clone(), id.clone());
+    let mut progress = RequestProgress::begin(shared.clone(), id.clone());
     let Some(configuration) = shared.configuration().await else {
         let refusal = Refusal::not_run(RefusalReason::NoConfiguration, Some(START_RETRY));
         return refuse(progress, Some(&id), &refusal, 0, None);
@@ -65,7 +65,7 @@
         prepared.facts.deadline,
     );
     let body = request::read_body(incoming, &prepared.headers, &configuration.limits).await;
-    if body.as_ref().is_ok_and(RequestBody::is_held) {
+    if body.as_ref().is_ok_and(RequestBody::is_buffered) {
         activity.set_reusable(true);
     }
     match body {
@@ -79,15 +79,15 @@
 }
 
 fn refuse(
-    progress: Progress,
+    progress: RequestProgress,
     id: Option<&str>,
     refusal: &Refusal,
     attempts: u32,
     version: Option<u64>,
-) -> Response<Outgoing> {
+) -> Response<OutgoingBody> {
     progress.refused(refusal, attempts, version);
     let status = StatusCode::from_u16(refusal.http_status());
-    let mut response = Response::new(body::whole(Bytes::new()));
+    let mut response = Response::new(body::from_bytes(Bytes::new()));
     *response.status_mut() = status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     *response.headers_mut() = headers::own_answer(id, refusal.retry_after);
     response
@@ -109,7 +109,7 @@
 }
 
 impl Serving {
-    async fn run(mut self, mut progress: Progress) -> Response<Outgoing> {
+    async fn run(mut self, mut progress: RequestProgress) -> Response<OutgoingBody> {
         // The last failure that an upstream answered itself; it is passed on where nothing better
         // follows.
         let mut failed: Option<Whole> = None;
@@ -156,20 +156,20 @@
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
-        mut in_flight: InFlight,
-        progress: &mut Progress,
+        mut in_flight: InFlightRequest,
+        progress: &mut RequestProgress,
     ) -> Received {
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => {
-                in_flight.observe(symptom(failure));
+                in_flight.set_outcome(symptom(failure));
                 return Received::Failed(failure, None);
             }
         };
-        progress.first_byte();
-        in_flight.first_byte();
+        progress.record_first_byte();
+        in_flight.on_first_byte();
         if let Some(load) = answer.facts.load {
-            in_flight.report(load);
+            in_flight.on_load_report(load);
         }
         let is_stream = self.prepared.route.kind == Kind::Stream && answer.status.is_success();
         if is_stream {
@@ -178,7 +178,7 @@
         self.read_whole(answer, in_flight).await
     }
 
-    async fn read_whole(&mut self, mut answer: Answer, mut in_flight: InFlight) -> Received {
+    async fn read_whole(&mut self, mut answer: Answer, mut in_flight: InFlightRequest) -> Received {
         let mut bytes = BytesMut::new();
         loop {
             let remaining = self.prepared.deadline.remaining(self.shared.now());
@@ -187,7 +187,7 @@
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) if !answer.connection.was_cut() => break,
                 Ok(None | Some(Err(_))) | Err(_) => {
-                    in_flight.observe(RequestOutcome::NoAnswer);
+                    in_flight.set_outcome(RequestOutcome::NoAnswer);
                     return Received::Failed(Failure::Broken, None);
                 }
             };
@@ -207,19 +207,19 @@
         let upstream = in_flight.upstream().clone();
         let whole = Whole { upstream, status, headers, bytes: bytes.freeze() };
         if !status.is_server_error() && !is_promise(status) {
-            in_flight.observe(RequestOutcome::Answered);
+            in_flight.set_outcome(RequestOutcome::Answered);
             return Received::Whole(whole);
         }
-        in_flight.observe(RequestOutcome::Error);
+        in_flight.set_outcome(RequestOutcome::Error);
         Received::Failed(Failure::Failed, Some(whole))
     }
 
     fn give_up(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         failed: Option<Whole>,
         refusal: Refusal,
-    ) -> Response<Outgoing> {
+    ) -> Response<OutgoingBody> {
         if let Some(whole) = failed.filter(|whole| !is_promise(whole.status)) {
             return self.pass_on(progress, whole);
         }
@@ -228,9 +228,9 @@
         refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
     }
 
-    fn pass_on(&self, progress: Progress, whole: Whole) -> Response<Outgoing> {
+    fn pass_on(&self, progress: RequestProgress, whole: Whole) -> Response<OutgoingBody> {
         progress.answered(whole.status.as_u16(), &whole.upstream, self.attempts());
-        let mut response = Response::new(body::whole(whole.bytes));
+        let mut response = Response::new(body::from_bytes(whole.bytes));
         *response.status_mut() = whole.status;
         *response.headers_mut() = whole.headers;
         response
