--- a/teaselworks/src/experiment/mod.rs
+++ b/teaselworks/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Recorded loads played in variants and with many seeds, side by side.
+//! Experiments: recorded loads, simulated in several variants and with several seeds, and compared.
 
 mod plan;
 mod plot;
@@ -13,16 +13,16 @@
 
 pub use self::plan::{Plan, Variant};
 
-/// Why an experiment could not be made.
+/// Error of an experiment.
 #[derive(Debug)]
 pub enum ExperimentError {
     /// A file could not be read or written.
     File(PathBuf, io::Error),
-    /// A file says nothing that can be played.
+    /// A file with an experiment or a load is invalid.
     Malformed(PathBuf, String),
     /// A plot could not be drawn.
     Plot(PathBuf, String),
-    /// The table could not be written.
+    /// The table of results could not be written.
     Output(io::Error),
 }
 
@@ -31,29 +31,30 @@
         match self {
             ExperimentError::File(path, error) => write!(f, "{}: {error}", path.display()),
             ExperimentError::Malformed(path, cause) => write!(f, "{}: {cause}", path.display()),
-            ExperimentError::Plot(path, cause) => write!(f, "{}: {cause}", path.display()),
-            ExperimentError::Output(error) => write!(f, "cannot write: {error}"),
+            ExperimentError::Plot(path, cause) => write!(f, "plotting {}: {cause}", path.display()),
+            ExperimentError::Output(error) => write!(f, "cannot write the table: {error}"),
         }
     }
 }
 
 impl std::error::Error for ExperimentError {}
 
-/// One load in one variant, with all its seeds.
+/// Results of one load in one variant.
 #[derive(Debug)]
-pub struct Played {
-    /// Name of the load: its file's, without the ending.
+pub struct VariantResult {
+    /// Name of the load: the name of its file without the extension.
     pub load: String,
     /// Name of the variant.
     pub variant: String,
-    /// What callers got, by seed from 1 on.
+    /// Results of the simulations; the first has seed 1, the next one seed 2, and so on.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Plays the experiment of a file: prints a table, and writes CSV and plots to a folder where one is
-/// named.
+/// Runs the experiment that `file` describes, and prints a table of results to `out`.
 ///
-/// Fails where a file cannot be read, understood or written.
+/// With a `folder`, also writes the results as CSV and a plot of each load to it.
+///
+/// Returns an error if a file cannot be read, is invalid or cannot be written.
 ///
 /// ```
 /// use std::path::Path;
@@ -67,37 +68,41 @@
     out: &mut dyn Write,
 ) -> Result<(), ExperimentError> {
     let plan = Plan::read(file)?;
-    let mut played = Vec::new();
+    let mut results = Vec::new();
     for (name, load) in plan.loads(file)? {
         for variant in &plan.variants {
-            let outcomes = play_seeds(&variant.of(&load), plan.seeds);
-            played.push(Played { load: name.clone(), variant: variant.name.clone(), outcomes });
+            let outcomes = run_seeds(&variant.apply_to(&load), plan.seeds);
+            results.push(VariantResult {
+                load: name.clone(),
+                variant: variant.name.clone(),
+                outcomes,
+            });
         }
     }
-    table::print(&played, out).map_err(ExperimentError::Output)?;
+    table::print(&results, out).map_err(ExperimentError::Output)?;
     let Some(folder) = folder else { return Ok(()) };
-    table::write_csv(&played, &folder.join("experiment.csv"))?;
-    plot::draw(&played, folder)
+    table::write_csv(&results, &folder.join("experiment.csv"))?;
+    plot::draw(&results, folder)
 }
 
-/// Plays a load with seeds from 1 on, as many at a time as there are processors.
-fn play_seeds(load: &Load, seeds: u64) -> Vec<Outcome> {
-    let next = Mutex::new(1..=seeds);
+/// Simulates a load with the seeds 1 to `seeds`, on as many threads as there are processors.
+fn run_seeds(load: &Load, seeds: u64) -> Vec<Outcome> {
+    let next_seeds = Mutex::new(1..=seeds);
     let outcomes = Mutex::new(Vec::new());
     let workers = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| {
                 loop {
-                    let seed = next.lock().expect("no player panics").next();
+                    let seed = next_seeds.lock().expect("a simulation thread panicked").next();
                     let Some(seed) = seed else { return };
                     let outcome = run(load, seed);
-                    outcomes.lock().expect("no player panics").push((seed, outcome));
+                    outcomes.lock().expect("a simulation thread panicked").push((seed, outcome));
                 }
             });
         }
     });
-    let mut outcomes = outcomes.into_inner().expect("no player panics");
+    let mut outcomes = outcomes.into_inner().expect("a simulation thread panicked");
     outcomes.sort_by_key(|(seed, _)| *seed);
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
--- a/teaselworks/src/experiment/table.rs
+++ b/teaselworks/src/experiment/table.rs
@@ -1,14 +1,20 @@
-//! What was played, as a table and as CSV.
+//! Output of the results as a table and as CSV.
 
 use std::io::{self, Write};
 use std::path::Path;
 
-use teaselworks_model::{Outcome, Window};
+use teaselworks_model::{Outcome, RequestCounts};
 
-use super::{ExperimentError, Played};
+use super::{ExperimentError, VariantResult};
 
 /// Prints a line for each load and variant, with means over the seeds.
-pub(super) fn print(played: &[Played], out: &mut dyn Write) -> io::Result<()> {
+///
+/// The columns are fractions of the requests up to `failed`, then the 50th and 99th percentile of
+/// the time to the first token, the reuse of cached prompt tokens, the load of the busiest engine
+/// as a multiple of the mean load, the fraction of requests sent to an engine above the bound on
+/// load, and the millions of prompt tokens copied between engines. `worst` is the lowest fraction
+/// of requests in time of any time window.
+pub(super) fn print(results: &[VariantResult], out: &mut dyn Write) -> io::Result<()> {
     writeln!(
         out,
         "{:<22} {:<22} {:>7} {:>7} {:>5} {:>7} {:>6} {:>8} {:>8} {:>5} {:>7} {:>6} {:>8}",
@@ -26,24 +32,24 @@
         "beyond",
         "M copied"
     )?;
-    for Played { load, variant, outcomes } in played {
-        let mean = |figure: &dyn Fn(&Outcome) -> f64| {
-            outcomes.iter().map(figure).sum::<f64>() / outcomes.len().max(1) as f64
+    for VariantResult { load, variant, outcomes } in results {
+        let mean = |value: &dyn Fn(&Outcome) -> f64| {
+            outcomes.iter().map(value).sum::<f64>() / outcomes.len().max(1) as f64
         };
         writeln!(
             out,
             "{load:<22} {variant:<22} {:>7.3} {:>7.3} {:>5.3} {:>7.3} {:>6.3} {:>8.0} {:>8.0} \
              {:>5.2} {:>7.2} {:>6.3} {:>8.2}",
-            mean(&|outcome| outcome.all().in_time_share()),
-            mean(&worst),
-            mean(&|outcome| share(&outcome.all(), outcome.all().late)),
-            mean(&|outcome| share(&outcome.all(), outcome.all().refused)),
-            mean(&|outcome| share(&outcome.all(), outcome.all().failed)),
-            mean(&|outcome| wait(&all_waits(outcome), 0.5)),
-            mean(&|outcome| wait(&all_waits(outcome), 0.99)),
-            mean(&|outcome| outcome.totals.reuse()),
+            mean(&|outcome| outcome.all_requests().in_time_share()),
+            mean(&worst_in_time_share),
+            mean(&|outcome| share(&outcome.all_requests(), outcome.all_requests().late)),
+            mean(&|outcome| share(&outcome.all_requests(), outcome.all_requests().refused)),
+            mean(&|outcome| share(&outcome.all_requests(), outcome.all_requests().failed)),
+            mean(&|outcome| wait_quantile(&all_waits_ms(outcome), 0.5)),
+            mean(&|outcome| wait_quantile(&all_waits_ms(outcome), 0.99)),
+            mean(&|outcome| outcome.totals.reuse_share()),
             mean(&|outcome| outcome.totals.busiest_to_mean()),
-            mean(&|outcome| outcome.totals.beyond_share()),
+            mean(&|outcome| outcome.totals.beyond_bound_share()),
             mean(&|outcome| outcome.totals.copied_tokens as f64 / 1e6),
         )?;
     }
@@ -51,10 +57,10 @@
 }
 
 /// Writes a row for each load, variant, seed and kind of request.
-pub(super) fn write_csv(played: &[Played], path: &Path) -> Result<(), ExperimentError> {
-    let failed = |error: csv::Error| ExperimentError::File(path.to_owned(), error.into());
-    let mut writer = csv::Writer::from_path(path).map_err(failed)?;
-    let head = [
+pub(super) fn write_csv(results: &[VariantResult], path: &Path) -> Result<(), ExperimentError> {
+    let file_error = |error: csv::Error| ExperimentError::File(path.to_owned(), error.into());
+    let mut writer = csv::Writer::from_path(path).map_err(file_error)?;
+    let header = [
         "load",
         "variant",
         "seed",
@@ -67,47 +73,50 @@
         "wait_p50_ms",
         "wait_p99_ms",
     ];
-    writer.write_record(head).map_err(failed)?;
-    for Played { load, variant, outcomes } in played {
+    writer.write_record(header).map_err(file_error)?;
+    for VariantResult { load, variant, outcomes } in results {
         for (seed, outcome) in (1..).zip(outcomes) {
-            for (kind, window) in &outcome.kinds {
-                let waits = outcome.waits_ms.get(kind).cloned().unwrap_or_default();
+            for (kind, counts) in &outcome.kinds {
+                let waits_ms = outcome.waits_ms.get(kind).cloned().unwrap_or_default();
                 let row = (
                     load,
                     variant,
                     seed,
                     kind,
-                    window.asked,
-                    window.in_time,
-                    window.late,
-                    window.refused,
-                    window.failed,
-                    wait(&waits, 0.5),
-                    wait(&waits, 0.99),
+                    counts.asked,
+                    counts.in_time,
+                    counts.late,
+                    counts.refused,
+                    counts.failed,
+                    wait_quantile(&waits_ms, 0.5),
+                    wait_quantile(&waits_ms, 0.99),
                 );
-                writer.serialize(row).map_err(failed)?;
+                writer.serialize(row).map_err(file_error)?;
             }
         }
     }
     writer.flush().map_err(|error| ExperimentError::File(path.to_owned(), error))
 }
 
-fn share(window: &Window, count: u32) -> f64 {
-    f64::from(count) / f64::from(window.asked.max(1))
+/// Returns `count` as a fraction of all requests in `counts`.
+fn share(counts: &RequestCounts, count: u32) -> f64 {
+    f64::from(count) / f64::from(counts.asked.max(1))
 }
 
-fn worst(outcome: &Outcome) -> f64 {
-    outcome.windows.values().map(Window::in_time_share).fold(1.0, f64::min)
+/// Returns the lowest fraction of requests answered in time of any time window.
+fn worst_in_time_share(outcome: &Outcome) -> f64 {
+    outcome.windows.values().map(RequestCounts::in_time_share).fold(1.0, f64::min)
 }
 
-fn all_waits(outcome: &Outcome) -> Vec<u32> {
+/// Returns the times to the first token of all answered requests, in milliseconds.
+fn all_waits_ms(outcome: &Outcome) -> Vec<u32> {
     outcome.waits_ms.values().flatten().copied().collect()
 }
 
-/// Returns the wait below which a part of the waits lies.
-fn wait(waits_ms: &[u32], part: f64) -> f64 {
+/// Returns a quantile, from 0 to 1, of the waits in milliseconds, or 0 if there are none.
+fn wait_quantile(waits_ms: &[u32], quantile: f64) -> f64 {
     let mut sorted = waits_ms.to_vec();
     sorted.sort_unstable();
-    let place = (part * sorted.len().saturating_sub(1) as f64).round() as usize;
-    sorted.get(place).copied().map_or(0.0, f64::from)
+    let index = (quantile * sorted.len().saturating_sub(1) as f64).round() as usize;
+    sorted.get(index).copied().map_or(0.0, f64::from)
 }
--- a/teaselworks_model/src/caller.rs
+++ b/teaselworks_model/src/caller.rs
@@ -1,76 +1,92 @@
-//! Callers: when they ask, how often, and when they leave.
+//! Model of the callers: when they send requests, how often they retry, and how long they wait.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use crate::load::{Kind, Load};
+use crate::load::{Load, RequestKind};
 
-/// Retries of a caller that was refused.
-const RETRIES: u32 = 1;
+/// Number of times that a caller sends a refused request again.
+const MAX_RETRIES: u32 = 1;
 
-/// What one caller wants.
+/// A request of a caller, with all its attempts.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
+pub(crate) struct Request {
+    /// Index of the kind in [`Load::kinds`].
     pub(crate) kind: usize,
+    /// Identifier of the shared prompt part.
     pub(crate) key: u64,
+    /// Tokens of the answer.
     pub(crate) answer_tokens: f64,
+    /// Time of the first attempt.
     pub(crate) asked_at: Duration,
+    /// Number of attempts that the caller has made so far.
     pub(crate) attempts: u32,
-    pub(crate) first_at: Option<Duration>,
-    /// When the caller leaves.
+    /// Time at which the first token was generated.
+    pub(crate) first_token_at: Option<Duration>,
+    /// Time at which the caller disconnects.
     pub(crate) deadline: Duration,
 }
 
-impl Call {
-    /// Tells whether the caller asks again after a refusal.
-    pub(crate) fn returns(&self) -> bool {
-        self.attempts <= RETRIES
+impl Request {
+    /// Tells whether the caller may send the request again after a refusal.
+    pub(crate) fn may_retry(&self) -> bool {
+        self.attempts <= MAX_RETRIES
     }
 
-    /// Tells whether the first token came in time.
+    /// Tells whether the first token came within the target latency.
     pub(crate) fn is_in_time(&self, load: &Load) -> bool {
-        let aim = milliseconds(load.kinds[self.kind].aim_ms);
-        self.first_at.is_some_and(|at| at.saturating_sub(self.asked_at) <= aim)
+        let target = duration_from_ms(load.kinds[self.kind].target_latency_ms);
+        self.first_token_at.is_some_and(|at| at.saturating_sub(self.asked_at) <= target)
     }
 }
 
-/// Returns the calls that begin in a tick.
+/// Returns the new requests of the tick that starts at `now`.
 pub(crate) fn arrivals(
     load: &Load,
     now: Duration,
     tick: Duration,
     random: &mut Pcg32,
-) -> Vec<Call> {
-    let mut calls = Vec::new();
-    for (number, kind) in load.kinds.iter().enumerate() {
-        let expected = kind.per_s * load.pressure(now) * tick.as_secs_f64();
-        for _ in 0..poisson(expected, random) {
+) -> Vec<Request> {
+    let mut requests = Vec::new();
+    for (kind_index, kind) in load.kinds.iter().enumerate() {
+        let mean = kind.per_s * load.rate_factor(now) * tick.as_secs_f64();
+        for _ in 0..sample_poisson(mean, random) {
             let is_hot = load.hot_share(&kind.name, now) > 0.0
                 && random.random_bool(load.hot_share(&kind.name, now));
-            calls.push(call(number, kind, is_hot, now, random));
+            requests.push(new_request(kind_index, kind, is_hot, now, random));
         }
     }
-    calls
+    requests
 }
 
-fn call(number: usize, kind: &Kind, is_hot: bool, now: Duration, random: &mut Pcg32) -> Call {
+/// Creates a request with a random shared part, answer length and deadline; if `is_hot`, it has the
+/// hot shared part.
+fn new_request(
+    kind_index: usize,
+    kind: &RequestKind,
+    is_hot: bool,
+    now: Duration,
+    random: &mut Pcg32,
+) -> Request {
     let part = if is_hot { 0 } else { random.random_range(0..kind.shared_parts.max(1)) };
-    let patience = 1.0 - kind.deadline_spread * random.random_range(0.0..1.0);
-    Call {
-        deadline: now + milliseconds(kind.deadline_ms * patience),
-        kind: number,
-        key: (number as u64 + 1) * 1_000_000 + part,
+    let deadline_factor = 1.0 - kind.deadline_spread * random.random_range(0.0..1.0);
+    Request {
+        deadline: now + duration_from_ms(kind.deadline_ms * deadline_factor),
+        kind: kind_index,
+        // Parts of different kinds must not get the same identifier.
+        key: (kind_index as u64 + 1) * 1_000_000 + part,
         answer_tokens: f64::from(kind.answer_tokens) * random.random_range(0.1..1.9),
         asked_at: now,
         attempts: 0,
-        first_at: None,
+        first_token_at: None,
     }
 }
 
-fn poisson(expected: f64, random: &mut Pcg32) -> u32 {
-    let limit = (-expected).exp();
+/// Draws a number from the Poisson distribution with the given mean (Knuth's method).
+fn sample_poisson(mean: f64, random: &mut Pcg32) -> u32 {
+    let limit = (-mean).exp();
     let mut product: f64 = random.random_range(0.0..1.0);
     let mut count = 0;
     while product > limit {
@@ -80,6 +96,7 @@
     count
 }
 
-pub(crate) fn milliseconds(ms: f64) -> Duration {
+/// Converts a number of milliseconds to a duration; panics if it is negative or not finite.
+pub(crate) fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1e3)
 }
--- a/teaselworks_model/src/engine.rs
+++ b/teaselworks_model/src/engine.rs
@@ -1,180 +1,214 @@
-//! One engine: requests in steps, prompts that delay them, kept parts, reports that are late.
+//! Model of one engine: it reads prompts, generates answers in steps, caches shared prompt parts
+//! and reports its load with a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use teaselworks_policy::upstream::LoadReport;
 
-use crate::load::Engines;
+use crate::load::EngineSettings;
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    pub(crate) call: usize,
+    /// Index of the request in the simulation.
+    pub(crate) request: usize,
+    /// Identifier of the shared prompt part.
     pub(crate) key: u64,
+    /// Tokens of the shared prompt part.
     pub(crate) shared_tokens: u32,
+    /// Tokens of the prompt part that belongs to the request alone.
     pub(crate) own_tokens: u32,
+    /// Tokens to generate.
     pub(crate) answer_tokens: f64,
 }
 
+/// A job that occupies a slot of the engine.
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningJob {
     job: Job,
-    /// Prompt tokens that are not read yet.
-    unread: f64,
-    /// Time until a copy of the shared part is there.
-    copying: Duration,
-    made: f64,
+    /// Prompt tokens that the engine still has to read.
+    unread_tokens: f64,
+    /// Time until the shared part has been copied from another engine.
+    copy_remaining: Duration,
+    /// Tokens generated so far, with the fraction of the current step.
+    generated_tokens: f64,
 }
 
-/// What became of requests in a tick.
+/// What a request reached during a tick; the number is the index of the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Progress {
-    First(usize),
-    Done(usize),
+    /// The first token was generated.
+    FirstToken(usize),
+    /// The answer is complete.
+    Finished(usize),
 }
 
-/// Tokens of shared parts that an engine did not keep.
+/// Tokens of shared prompt parts that were not in an engine's cache when a request needed them.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Missed {
-    pub(crate) read: u64,
-    pub(crate) copied: u64,
+pub(crate) struct CacheMisses {
+    /// Tokens that the engine read itself.
+    pub(crate) read_tokens: u64,
+    /// Tokens that were copied from another engine.
+    pub(crate) copied_tokens: u64,
 }
 
+/// State of one engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    figures: Engines,
-    running: Vec<Running>,
+    settings: EngineSettings,
+    running: Vec<RunningJob>,
+    /// Queued jobs, each with whether another engine has its shared part cached.
     waiting: VecDeque<(Job, bool)>,
-    /// Shared parts, the least recently used first.
-    kept: VecDeque<(u64, u32)>,
+    /// Identifiers and tokens of the cached shared parts, the least recently used first.
+    cache: VecDeque<(u64, u32)>,
+    /// Load after each of the last ticks, the oldest first.
     reports: VecDeque<(Duration, LoadReport)>,
-    pub(crate) missed: Missed,
+    pub(crate) cache_misses: CacheMisses,
 }
 
 impl Engine {
-    pub(crate) fn new(figures: Engines) -> Self {
+    /// Creates an idle engine with an empty cache.
+    pub(crate) fn new(settings: EngineSettings) -> Self {
         Self {
-            figures,
+            settings,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            kept: VecDeque::new(),
+            cache: VecDeque::new(),
             reports: VecDeque::new(),
-            missed: Missed::default(),
+            cache_misses: CacheMisses::default(),
         }
     }
 
-    /// Tells whether a shared part is kept.
-    pub(crate) fn keeps(&self, key: u64) -> bool {
-        self.kept.iter().any(|(kept, _)| *kept == key)
+    /// Tells whether the shared part `key` is cached.
+    pub(crate) fn has_cached(&self, key: u64) -> bool {
+        self.cache.iter().any(|(cached, _)| *cached == key)
     }
 
-    /// Returns the requests that it runs or keeps waiting.
-    pub(crate) fn holds(&self) -> usize {
+    /// Returns the number of running and waiting requests.
+    pub(crate) fn request_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Takes a request, whose shared part another engine may hold; false where it is turned away.
-    pub(crate) fn offer(&mut self, job: Job, is_held_elsewhere: bool) -> bool {
-        if self.waiting.len() >= self.figures.queue as usize {
+    /// Adds a job to the queue; returns false if the queue is full.
+    ///
+    /// `is_cached_elsewhere` tells whether the shared part can be copied from another engine.
+    pub(crate) fn enqueue(&mut self, job: Job, is_cached_elsewhere: bool) -> bool {
+        if self.waiting.len() >= self.settings.queue as usize {
             return false;
         }
-        self.waiting.push_back((job, is_held_elsewhere));
+        self.waiting.push_back((job, is_cached_elsewhere));
         true
     }
 
-    /// Ends the request of a caller that left.
-    pub(crate) fn cancel(&mut self, call: usize) {
-        self.running.retain(|running| running.job.call != call);
-        self.waiting.retain(|(job, _)| job.call != call);
+    /// Drops a request whose caller has disconnected.
+    pub(crate) fn cancel(&mut self, request: usize) {
+        self.running.retain(|running| running.job.request != request);
+        self.waiting.retain(|(job, _)| job.request != request);
     }
 
-    /// Forgets everything; returns the requests that it had.
+    /// Drops all requests, cached parts and load reports; returns the dropped requests.
     pub(crate) fn crash(&mut self) -> Vec<usize> {
-        let running = self.running.drain(..).map(|running| running.job.call);
-        let lost = running.chain(self.waiting.drain(..).map(|(job, _)| job.call)).collect();
-        self.kept.clear();
+        let running = self.running.drain(..).map(|running| running.job.request);
+        let lost = running.chain(self.waiting.drain(..).map(|(job, _)| job.request)).collect();
+        self.cache.clear();
         self.reports.clear();
         lost
     }
 
-    /// Returns the load as of some time ago.
-    pub(crate) fn report(&self, now: Duration) -> Option<LoadReport> {
-        let lag = Duration::from_secs_f64(self.figures.report_lag_ms / 1e3);
-        let old = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
-        old.map(|(_, report)| *report)
+    /// Returns the latest load that is at least `report_lag_ms` old, if there is one.
+    pub(crate) fn delayed_report(&self, now: Duration) -> Option<LoadReport> {
+        let lag = Duration::from_secs_f64(self.settings.report_lag_ms / 1e3);
+        let latest = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
+        latest.map(|(_, report)| *report)
     }
 
-    /// Works for a tick.
-    pub(crate) fn work(&mut self, now: Duration, tick: Duration) -> Vec<Progress> {
-        self.admit();
-        let mut left_ms = tick.as_secs_f64() * 1e3;
+    /// Processes the requests for one tick.
+    ///
+    /// Reading prompts takes time from the tick; what remains is left for generating tokens.
+    pub(crate) fn advance(&mut self, now: Duration, tick: Duration) -> Vec<Progress> {
+        self.start_waiting();
+        let mut remaining_ms = tick.as_secs_f64() * 1e3;
         for running in &mut self.running {
-            running.copying = running.copying.saturating_sub(tick);
-            if !running.copying.is_zero() || running.unread <= 0.0 {
+            running.copy_remaining = running.copy_remaining.saturating_sub(tick);
+            if !running.copy_remaining.is_zero() || running.unread_tokens <= 0.0 {
                 continue;
             }
-            let read = running.unread.min(left_ms * self.figures.read_tokens_per_ms);
-            running.unread -= read;
-            left_ms -= read / self.figures.read_tokens_per_ms;
+            let read_tokens =
+                running.unread_tokens.min(remaining_ms * self.settings.read_tokens_per_ms);
+            running.unread_tokens -= read_tokens;
+            remaining_ms -= read_tokens / self.settings.read_tokens_per_ms;
         }
-        let is_ready = |running: &Running| running.unread <= 0.0 && running.copying.is_zero();
-        let batch = self.running.iter().filter(|running| is_ready(running)).count();
-        let step_ms = self.figures.step_ms + self.figures.step_ms_per_request * batch as f64;
+        let is_generating =
+            |running: &RunningJob| running.unread_tokens <= 0.0 && running.copy_remaining.is_zero();
+        let batch_size = self.running.iter().filter(|running| is_generating(running)).count();
+        let step_ms = self.settings.step_ms + self.settings.step_ms_per_request * batch_size as f64;
         let mut progress = Vec::new();
         for running in &mut self.running {
-            if !is_ready(running) {
+            if !is_generating(running) {
                 continue;
             }
-            if running.made == 0.0 {
-                progress.push(Progress::First(running.job.call));
+            if running.generated_tokens == 0.0 {
+                progress.push(Progress::FirstToken(running.job.request));
             }
-            running.made += (left_ms / step_ms).max(f64::MIN_POSITIVE);
-            if running.made >= running.job.answer_tokens {
-                progress.push(Progress::Done(running.job.call));
+            // More than zero even if no time remains, so that the first token is reported once.
+            running.generated_tokens += (remaining_ms / step_ms).max(f64::MIN_POSITIVE);
+            if running.generated_tokens >= running.job.answer_tokens {
+                progress.push(Progress::Finished(running.job.request));
             }
         }
-        self.running.retain(|running| running.made < running.job.answer_tokens);
-        self.note_report(now);
+        self.running.retain(|running| running.generated_tokens < running.job.answer_tokens);
+        self.record_report(now);
         progress
     }
 
-    fn admit(&mut self) {
-        while self.running.len() < self.figures.slots as usize {
-            let Some((job, is_held_elsewhere)) = self.waiting.pop_front() else { return };
-            let mut unread = f64::from(job.own_tokens);
-            let mut copying = Duration::ZERO;
-            if !self.keeps(job.key) {
+    /// Moves jobs from the queue to the free slots.
+    fn start_waiting(&mut self) {
+        while self.running.len() < self.settings.slots as usize {
+            let Some((job, is_cached_elsewhere)) = self.waiting.pop_front() else { return };
+            let mut unread_tokens = f64::from(job.own_tokens);
+            let mut copy_remaining = Duration::ZERO;
+            if !self.has_cached(job.key) {
                 let tokens = f64::from(job.shared_tokens);
-                if is_held_elsewhere {
-                    self.missed.copied += u64::from(job.shared_tokens);
-                    copying =
-                        Duration::from_secs_f64(tokens / self.figures.copied_tokens_per_ms / 1e3);
+                if is_cached_elsewhere {
+                    self.cache_misses.copied_tokens += u64::from(job.shared_tokens);
+                    copy_remaining =
+                        Duration::from_secs_f64(tokens / self.settings.copied_tokens_per_ms / 1e3);
                 } else {
-                    self.missed.read += u64::from(job.shared_tokens);
-                    unread += tokens;
+                    self.cache_misses.read_tokens += u64::from(job.shared_tokens);
+                    unread_tokens += tokens;
                 }
             }
-            self.keep(job.key, job.shared_tokens);
-            self.running.push(Running { job, unread, copying, made: 0.0 });
+            self.add_to_cache(job.key, job.shared_tokens);
+            self.running.push(RunningJob {
+                job,
+                unread_tokens,
+                copy_remaining,
+                generated_tokens: 0.0,
+            });
         }
     }
 
-    fn keep(&mut self, key: u64, tokens: u32) {
-        self.kept.retain(|(kept, _)| *kept != key);
-        self.kept.push_back((key, tokens));
-        let total = |kept: &VecDeque<(u64, u32)>| -> u64 {
-            kept.iter().map(|(_, tokens)| u64::from(*tokens)).sum()
+    /// Makes a shared part the most recently used one in the cache, and evicts the least recently
+    /// used ones while the cache is over capacity.
+    fn add_to_cache(&mut self, key: u64, tokens: u32) {
+        self.cache.retain(|(cached, _)| *cached != key);
+        self.cache.push_back((key, tokens));
+        let total_tokens = |cache: &VecDeque<(u64, u32)>| -> u64 {
+            cache.iter().map(|(_, tokens)| u64::from(*tokens)).sum()
         };
-        while total(&self.kept) > self.figures.kept_tokens && self.kept.len() > 1 {
-            self.kept.pop_front();
+        while total_tokens(&self.cache) > self.settings.cache_capacity_tokens
+            && self.cache.len() > 1
+        {
+            self.cache.pop_front();
         }
     }
 
-    fn note_report(&mut self, now: Duration) {
-        let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
+    /// Stores the current load for later reports, and drops loads older than two seconds.
+    fn record_report(&mut self, now: Duration) {
+        let to_u32 = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let report =
-            LoadReport { running: count(self.running.len()), waiting: count(self.waiting.len()) };
+            LoadReport { running: to_u32(self.running.len()), waiting: to_u32(self.waiting.len()) };
         self.reports.push_back((now, report));
         let oldest = now.saturating_sub(Duration::from_secs(2));
         while self.reports.front().is_some_and(|(at, _)| *at < oldest) {
--- a/teaselworks_model/src/lib.rs
+++ b/teaselworks_model/src/lib.rs
@@ -1,7 +1,8 @@
-//! A model of a fleet under load, without input or output: engines, callers and routers.
+//! Simulation of engines, callers and routers under a recorded load, without input or output.
 //!
-//! Routers decide by the same calls as the relay makes, so that no decision is written twice. Equal
-//! loads and seeds give equal results.
+//! The simulated routers decide through the same functions of `teaselworks_policy` as the real
+//! ones, so the model contains no second version of a decision. Equal loads and seeds give equal
+//! results.
 #![warn(clippy::disallowed_methods)]
 
 mod caller;
@@ -11,6 +12,8 @@
 mod router;
 mod run;
 
-pub use self::load::{Dark, Engines, Hot, Kind, Load, LoadError, Placing, Press};
-pub use self::result::{Outcome, Totals, Window};
+pub use self::load::{
+    EngineSettings, HotPart, Load, LoadError, Outage, PlacementMode, RequestKind, Surge,
+};
+pub use self::result::{EngineTotals, Outcome, RequestCounts};
 pub use self::run::run;
--- a/teaselworks_model/src/load.rs
+++ b/teaselworks_model/src/load.rs
@@ -1,4 +1,4 @@
-//! A recorded load: who asks for what, how hard, and what fails meanwhile.
+//! The file format of recorded loads: the requests of callers, the engines, and outages and surges.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,135 +6,146 @@
 
 use serde::Deserialize;
 
-/// A load, as its file states it.
+/// A recorded load, as read from its file.
+///
+/// All times given in seconds count from the start of the simulation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Time for which callers ask.
+    /// Time during which callers send requests.
     pub length_s: f64,
-    /// Routers that callers ask, all alike.
+    /// Number of routers; each attempt of a request goes to a random one.
     pub routers: u32,
-    /// Time of one way between routers and engines.
-    pub way_ms: f64,
-    /// Time between two exchanges of loads among the routers, where there are any.
+    /// One-way network delay between a router and an engine.
+    #[serde(rename = "way_ms")]
+    pub one_way_delay_ms: f64,
+    /// Interval at which routers exchange their observations of the engines; if it is missing, they
+    /// exchange none.
     pub exchange_ms: Option<f64>,
-    /// The engines.
-    pub engines: Engines,
-    /// What is asked for.
-    pub kinds: Vec<Kind>,
-    /// Times in which callers press.
-    #[serde(default)]
-    pub presses: Vec<Press>,
-    /// Times in which engines are dark.
-    #[serde(default)]
-    pub dark: Vec<Dark>,
-    /// Times in which many requests share one part.
-    #[serde(default)]
-    pub hot: Vec<Hot>,
-    /// How routers place requests.
-    #[serde(default)]
-    pub placing: Placing,
+    /// Number and properties of the engines.
+    pub engines: EngineSettings,
+    /// Kinds of requests.
+    pub kinds: Vec<RequestKind>,
+    /// Periods with more requests than usual.
+    #[serde(default, rename = "presses")]
+    pub surges: Vec<Surge>,
+    /// Periods in which some engines do not respond.
+    #[serde(default, rename = "dark")]
+    pub outages: Vec<Outage>,
+    /// Periods in which many requests have the same shared prompt part.
+    #[serde(default, rename = "hot")]
+    pub hot_parts: Vec<HotPart>,
+    /// How routers choose an engine for a request.
+    #[serde(default, rename = "placing")]
+    pub placement: PlacementMode,
 }
 
-/// How routers place requests.
+/// How routers choose an engine for a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum Placing {
-    /// By prompt and load, as routers do.
+pub enum PlacementMode {
+    /// By cached prompts and load, as for services whose requests have prompts.
     #[default]
     Reuse,
-    /// By load alone, as for services without prompts.
+    /// By load alone, as for services whose requests have no prompts.
     LeastLoad,
 }
 
-/// Engines, all alike.
+/// Number and properties of the engines, which are all alike.
+///
+/// An engine generates tokens in steps: each step yields one token for every request that is
+/// generating its answer.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Engines {
-    /// Their number.
+pub struct EngineSettings {
+    /// Number of engines.
     pub count: u32,
-    /// Requests that one runs at once.
+    /// Number of requests that an engine processes at the same time.
     pub slots: u32,
-    /// Requests that wait in one beyond that before it turns others away.
+    /// Length of an engine's queue; an engine rejects requests while its queue is full.
     pub queue: u32,
-    /// Time of a step, in which each running request gets a token.
+    /// Duration of a step without the share of the requests.
     pub step_ms: f64,
-    /// Time that each running request adds to a step.
+    /// Time by which each request that is generating its answer extends a step.
     pub step_ms_per_request: f64,
-    /// Prompt tokens read in a millisecond, in which no step is made.
+    /// Prompt tokens that an engine reads per millisecond; while it reads, it runs no steps.
     pub read_tokens_per_ms: f64,
-    /// Prompt tokens copied from another engine in a millisecond, beside its steps.
+    /// Prompt tokens that an engine copies from another engine per millisecond; its steps continue
+    /// meanwhile.
     pub copied_tokens_per_ms: f64,
-    /// Tokens of shared parts that one keeps.
-    pub kept_tokens: u64,
-    /// Age of the load that it reports.
+    /// Capacity of an engine's cache of shared prompt parts, in tokens.
+    #[serde(rename = "kept_tokens")]
+    pub cache_capacity_tokens: u64,
+    /// Age of the load that an engine reports.
     pub report_lag_ms: f64,
 }
 
-/// Requests of one kind.
+/// Properties of the requests of one kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
-    /// Name.
+pub struct RequestKind {
+    /// Name of the kind, which is also the name of its route.
     pub name: Arc<str>,
-    /// Requests a second.
+    /// Mean number of new requests per second.
     pub per_s: f64,
-    /// Different shared parts, all asked for alike.
+    /// Number of different shared prompt parts, each of which is equally likely.
     pub shared_parts: u64,
-    /// Tokens of a shared part.
+    /// Tokens of the prompt part that a request shares with others.
     pub shared_tokens: u32,
-    /// Tokens of a request's own part.
+    /// Tokens of the prompt part that belongs to the request alone.
     pub own_tokens: u32,
-    /// Mean tokens of an answer; each is up to twice as long.
+    /// Mean number of tokens of an answer; each answer has between 0.1 and 1.9 times as many.
     pub answer_tokens: u32,
-    /// Time to the first token that callers aim at.
-    pub aim_ms: f64,
-    /// Longest time for which callers wait.
+    /// Time to the first token up to which an answer counts as in time.
+    #[serde(rename = "aim_ms")]
+    pub target_latency_ms: f64,
+    /// Longest time for which a caller waits for the end of the answer.
     pub deadline_ms: f64,
-    /// Part of it by which the least patient callers wait less.
+    /// Largest fraction, from 0 to 1, by which a caller's deadline is shorter than `deadline_ms`.
     #[serde(default)]
     pub deadline_spread: f64,
 }
 
-/// A time in which callers press.
+/// A period with more requests than usual.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Press {
-    /// Its start.
+pub struct Surge {
+    /// Start of the period.
     pub at_s: f64,
-    /// Its length.
+    /// Length of the period.
     pub for_s: f64,
-    /// Multiple of the usual requests.
-    pub times: f64,
+    /// Factor by which the rates of all kinds of requests are multiplied.
+    #[serde(rename = "times")]
+    pub rate_factor: f64,
 }
 
-/// A time in which engines are dark: they answer nothing, and forget what they ran.
+/// A period in which some engines do not respond and lose all their requests and cached prompts.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Dark {
-    /// Its start.
+pub struct Outage {
+    /// Start of the outage.
     pub at_s: f64,
-    /// Its length.
+    /// Length of the outage.
     pub for_s: f64,
-    /// Part of the engines.
+    /// Fraction of the engines that are down, from 0 to 1.
     pub share: f64,
 }
 
-/// A time in which many requests of a kind share one part.
+/// A period in which many requests of a kind have the same shared prompt part.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hot {
-    /// Its start.
+pub struct HotPart {
+    /// Start of the period.
     pub at_s: f64,
-    /// Its length.
+    /// Length of the period.
     pub for_s: f64,
-    /// The kind.
+    /// Name of the kind of requests.
     pub kind: String,
-    /// Part of its requests.
+    /// Fraction of the requests of this kind that have the same shared part, from 0 to 1.
     pub share: f64,
 }
 
-/// Why a load could not be read.
+/// Error of reading a load: invalid JSON, or a missing, unknown or malformed field.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadError(String);
 
@@ -147,7 +158,10 @@
 impl std::error::Error for LoadError {}
 
 impl Load {
-    /// Reads a load from JSON with comments; fails where it is none, or lacks a field.
+    /// Parses a load from JSON with comments.
+    ///
+    /// Returns an error if `text` is invalid JSON or a field is missing, unknown or of a wrong
+    /// type.
     ///
     /// ```
     /// use teaselworks_model::Load;
@@ -160,28 +174,33 @@
             .map_err(|error| LoadError(error.to_string()))
     }
 
-    /// Returns the multiple of the usual requests at a time.
-    pub(crate) fn pressure(&self, now: Duration) -> f64 {
+    /// Returns the factor by which the rates of requests are multiplied at `now`: the largest one
+    /// of the current surges, but at least 1.
+    pub(crate) fn rate_factor(&self, now: Duration) -> f64 {
         let now_s = now.as_secs_f64();
-        let presses = self.presses.iter().filter(|press| is_within(now_s, press.at_s, press.for_s));
-        presses.map(|press| press.times).fold(1.0, f64::max)
+        let surges = self.surges.iter().filter(|surge| is_within(now_s, surge.at_s, surge.for_s));
+        surges.map(|surge| surge.rate_factor).fold(1.0, f64::max)
     }
 
-    /// Returns the part of the requests of a kind that share one part at a time.
+    /// Returns the fraction of the requests of `kind` that have the hot shared part at `now`.
     pub(crate) fn hot_share(&self, kind: &str, now: Duration) -> f64 {
         let now_s = now.as_secs_f64();
-        let is_hot = |hot: &&Hot| *hot.kind == *kind && is_within(now_s, hot.at_s, hot.for_s);
-        self.hot.iter().filter(is_hot).map(|hot| hot.share).fold(0.0, f64::max)
+        let is_hot = |hot: &&HotPart| *hot.kind == *kind && is_within(now_s, hot.at_s, hot.for_s);
+        self.hot_parts.iter().filter(is_hot).map(|hot| hot.share).fold(0.0, f64::max)
     }
 
-    /// Tells whether an engine is dark at a time.
-    pub(crate) fn is_dark(&self, engine: u32, now: Duration) -> bool {
+    /// Tells whether an engine is down at `now`; an outage affects the engines with the lowest
+    /// numbers.
+    pub(crate) fn is_down(&self, engine: u32, now: Duration) -> bool {
         let now_s = now.as_secs_f64();
-        let place = f64::from(engine) / f64::from(self.engines.count);
-        self.dark.iter().any(|dark| is_within(now_s, dark.at_s, dark.for_s) && place < dark.share)
+        let position = f64::from(engine) / f64::from(self.engines.count);
+        self.outages
+            .iter()
+            .any(|outage| is_within(now_s, outage.at_s, outage.for_s) && position < outage.share)
     }
 }
 
+/// Tells whether `now_s` lies in the period that starts at `at_s` and lasts `for_s`.
 fn is_within(now_s: f64, at_s: f64, for_s: f64) -> bool {
     (at_s..at_s + for_s).contains(&now_s)
 }
--- a/teaselworks_model/src/result.rs
+++ b/teaselworks_model/src/result.rs
@@ -1,137 +1,148 @@
-//! What callers got.
+//! Results of a simulation: counts of requests by how they ended, and sums over the engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Length of a window.
-const WINDOW: Duration = Duration::from_secs(2);
+/// Length of the time windows for which requests are counted separately.
+const WINDOW_LENGTH: Duration = Duration::from_secs(2);
 
-/// What callers got that began to ask in one window.
+/// Numbers of requests by how they ended.
+///
+/// A request counts as one, however often its caller retries it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Window {
-    /// Callers.
+pub struct RequestCounts {
+    /// All requests.
     pub asked: u32,
-    /// Those whose first token came in time.
+    /// Answered requests whose first token came within the target latency.
     pub in_time: u32,
-    /// Those that were answered later.
+    /// Answered requests whose first token came later.
     pub late: u32,
-    /// Those that were refused for good.
+    /// Requests that were refused and not retried any more.
     pub refused: u32,
-    /// Those that left unanswered, or whose answer broke off.
+    /// Requests whose answer was missing or incomplete at the caller's deadline.
     pub failed: u32,
 }
 
-impl Window {
-    /// Returns the part of the callers that were answered in time, from 0 to 1.
+impl RequestCounts {
+    /// Returns the fraction of the requests that were answered in time, from 0 to 1.
     ///
     /// ```
-    /// use teaselworks_model::Window;
+    /// use teaselworks_model::RequestCounts;
     ///
-    /// let window = Window { asked: 4, in_time: 3, ..Window::default() };
-    /// assert_eq!(window.in_time_share(), 0.75);
+    /// let counts = RequestCounts { asked: 4, in_time: 3, ..RequestCounts::default() };
+    /// assert_eq!(counts.in_time_share(), 0.75);
     /// ```
     pub fn in_time_share(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.asked.max(1))
     }
 }
 
-/// Sums over all engines.
+/// Sums over all engines and all requests that reached them; a request counts again for every
+/// further attempt that reaches an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Totals {
-    /// Tokens of shared parts that an engine read since it did not keep them.
+pub struct EngineTotals {
+    /// Tokens of shared prompt parts that an engine read because they were not in its cache.
     pub read_tokens: u64,
-    /// Tokens of shared parts that were copied between engines.
+    /// Tokens of shared prompt parts that were copied between engines.
     pub copied_tokens: u64,
-    /// Requests that reached an engine.
+    /// Number of requests that reached an engine, whether it accepted or rejected them.
     pub reached: u64,
-    /// Those that met twice the mean load of all engines and three requests more.
+    /// Number of requests that reached an engine with more than twice the mean load of all engines
+    /// plus three requests.
     pub beyond_bound: u64,
-    /// Tokens of the shared parts of requests that reached an engine.
+    /// Tokens of the shared prompt parts of requests that an engine accepted.
     pub shared_tokens: u64,
-    /// Sum over the requests of the busiest engine's load, in hundredths of the mean load.
-    pub busiest_percent: u64,
+    /// Load of the busiest engine in percent of the mean load, summed over the requests that
+    /// reached an engine.
+    pub busiest_percent_sum: u64,
 }
 
-impl Totals {
-    /// Returns the part of the shared tokens that an engine kept, from 0 to 1.
+impl EngineTotals {
+    /// Returns the fraction of the tokens of shared prompt parts that were in the engine's cache,
+    /// from 0 to 1.
     ///
     /// ```
-    /// use teaselworks_model::Totals;
+    /// use teaselworks_model::EngineTotals;
     ///
-    /// let totals = Totals { shared_tokens: 10, read_tokens: 2, ..Totals::default() };
-    /// assert_eq!(totals.reuse(), 0.8);
+    /// let totals = EngineTotals { shared_tokens: 10, read_tokens: 2, ..EngineTotals::default() };
+    /// assert_eq!(totals.reuse_share(), 0.8);
     /// ```
-    pub fn reuse(&self) -> f64 {
-        let missed = self.read_tokens + self.copied_tokens;
-        1.0 - missed as f64 / self.shared_tokens.max(1) as f64
+    pub fn reuse_share(&self) -> f64 {
+        let missed_tokens = self.read_tokens + self.copied_tokens;
+        1.0 - missed_tokens as f64 / self.shared_tokens.max(1) as f64
     }
 
-    /// Returns the load of the busiest engine as a multiple of the mean, as requests met it.
+    /// Returns the load of the busiest engine as a multiple of the mean load, averaged over the
+    /// times at which a request reached an engine.
     ///
     /// ```
-    /// use teaselworks_model::Totals;
+    /// use teaselworks_model::EngineTotals;
     ///
-    /// let totals = Totals { reached: 2, busiest_percent: 300, ..Totals::default() };
+    /// let totals =
+    ///     EngineTotals { reached: 2, busiest_percent_sum: 300, ..EngineTotals::default() };
     /// assert_eq!(totals.busiest_to_mean(), 1.5);
     /// ```
     pub fn busiest_to_mean(&self) -> f64 {
-        self.busiest_percent as f64 / 100.0 / self.reached.max(1) as f64
+        self.busiest_percent_sum as f64 / 100.0 / self.reached.max(1) as f64
     }
 
-    /// Returns the part of the requests that met more than the bound on load, from 0 to 1.
+    /// Returns the fraction of the requests that reached an engine whose load was above the bound,
+    /// from 0 to 1.
     ///
     /// ```
-    /// use teaselworks_model::Totals;
+    /// use teaselworks_model::EngineTotals;
     ///
-    /// let totals = Totals { reached: 100, beyond_bound: 3, ..Totals::default() };
-    /// assert_eq!(totals.beyond_share(), 0.03);
+    /// let totals = EngineTotals { reached: 100, beyond_bound: 3, ..EngineTotals::default() };
+    /// assert_eq!(totals.beyond_bound_share(), 0.03);
     /// ```
-    pub fn beyond_share(&self) -> f64 {
+    pub fn beyond_bound_share(&self) -> f64 {
         self.beyond_bound as f64 / self.reached.max(1) as f64
     }
 }
 
-/// The result of one run.
+/// Result of one simulation.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Outcome {
-    /// Windows by their start in seconds.
-    pub windows: BTreeMap<u64, Window>,
-    /// All windows together, by kind of request.
-    pub kinds: BTreeMap<String, Window>,
-    /// Times to the first token of those that were answered, in milliseconds, by kind of request.
+    /// Counts by time window in which the request was first sent, keyed by the window's start in
+    /// seconds.
+    pub windows: BTreeMap<u64, RequestCounts>,
+    /// Counts over the whole time, by name of the kind of requests.
+    pub kinds: BTreeMap<String, RequestCounts>,
+    /// Times to the first token of the answered requests, by name of their kind.
     pub waits_ms: BTreeMap<String, Vec<u32>>,
-    /// Sums.
-    pub totals: Totals,
+    /// Sums over all engines.
+    pub totals: EngineTotals,
 }
 
 impl Outcome {
-    /// Returns all windows together.
-    pub fn all(&self) -> Window {
-        let mut all = Window::default();
-        for window in self.windows.values() {
-            all.asked += window.asked;
-            all.in_time += window.in_time;
-            all.late += window.late;
-            all.refused += window.refused;
-            all.failed += window.failed;
+    /// Returns the counts of all requests.
+    pub fn all_requests(&self) -> RequestCounts {
+        let mut all = RequestCounts::default();
+        for counts in self.windows.values() {
+            all.asked += counts.asked;
+            all.in_time += counts.in_time;
+            all.late += counts.late;
+            all.refused += counts.refused;
+            all.failed += counts.failed;
         }
         all
     }
 
-    /// Counts something of a caller in its window and its kind.
+    /// Increments a counter for a request of `kind` that was first sent at `asked_at`, both for its
+    /// time window and for its kind.
     pub(crate) fn count(
         &mut self,
         asked_at: Duration,
         kind: &str,
-        counter: impl Fn(&mut Window) -> &mut u32,
+        counter: impl Fn(&mut RequestCounts) -> &mut u32,
     ) {
-        let number = asked_at.as_secs() / WINDOW.as_secs();
-        *counter(self.windows.entry(number * WINDOW.as_secs()).or_default()) += 1;
+        let window_index = asked_at.as_secs() / WINDOW_LENGTH.as_secs();
+        *counter(self.windows.entry(window_index * WINDOW_LENGTH.as_secs()).or_default()) += 1;
         if !self.kinds.contains_key(kind) {
-            self.kinds.insert(kind.to_owned(), Window::default());
+            self.kinds.insert(kind.to_owned(), RequestCounts::default());
         }
-        if let Some(window) = self.kinds.get_mut(kind) {
-            *counter(window) += 1;
+        if let Some(counts) = self.kinds.get_mut(kind) {
+            *counter(counts) += 1;
         }
     }
 }
--- a/teaselworks_model/src/router.rs
+++ b/teaselworks_model/src/router.rs
@@ -1,4 +1,4 @@
-//! One router: the decision core, driven by the calls that the relay makes.
+//! Model of the routers: their decisions, made through the calls that a real router makes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,17 @@
 use teaselworks_policy::upstream::{Change, Upstream};
 use teaselworks_policy::verdict::Refusal;
 
-use crate::caller::{Call, milliseconds};
-use crate::load::{Load, Placing};
+use crate::caller::{Request, duration_from_ms};
+use crate::load::{Load, PlacementMode};
 
-/// Service of the engines.
+/// Name of the service that all engines belong to.
 pub(crate) const SERVICE: &str = "engines";
+/// Availability zone of all routers and engines.
 const ZONE: &str = "a";
 
-pub(crate) fn router(load: &Load, number: u32, seed: u64) -> Fleet {
+/// Creates router `number`, which knows all routers and engines and the configuration from the
+/// start.
+pub(crate) fn new_router(load: &Load, number: u32, seed: u64) -> Fleet {
     let name: Arc<str> = format!("router-{number}").into();
     let mut membership = Membership::new(name, Vec::new());
     for other in 0..load.routers {
@@ -30,33 +33,35 @@
     let mut fleet = Fleet::new(settings, membership, seed + u64::from(number));
     fleet.set_configuration(configuration(load));
     for engine in 0..load.engines.count {
-        fleet.apply(&Change::Serving(upstream(load, engine)));
+        fleet.apply(&Change::Serving(upstream_for_engine(load, engine)));
     }
     fleet
 }
 
-/// Returns the route of a kind.
-pub(crate) fn route(load: &Load, kind: usize) -> Route {
+/// Returns the route for requests of kind `kind`.
+pub(crate) fn route_for_kind(load: &Load, kind: usize) -> Route {
     let kind = &load.kinds[kind];
     Route {
         name: kind.name.clone(),
-        target_latency: milliseconds(kind.aim_ms),
-        timeout: milliseconds(kind.deadline_ms),
+        target_latency: duration_from_ms(kind.target_latency_ms),
+        timeout: duration_from_ms(kind.deadline_ms),
         has_prompts: true,
         targets: vec![Target { service: SERVICE.into(), weight: 1 }],
         ..Route::example(configuration::Kind::Stream, &format!("/{}/", kind.name))
     }
 }
 
+/// Returns a configuration with a route for each kind of requests and the service of the engines.
 fn configuration(load: &Load) -> Configuration {
-    let routes = (0..load.kinds.len()).map(|kind| route(load, kind));
+    let routes = (0..load.kinds.len()).map(|kind| route_for_kind(load, kind));
     let mut configuration =
         Configuration { version: 1, routes: Routes::new(routes), ..Configuration::default() };
     configuration.services.insert(SERVICE.into(), Service { copies_prompts: true });
     configuration
 }
 
-fn upstream(load: &Load, engine: u32) -> Upstream {
+/// Returns the upstream that stands for an engine; [`engine_index`] maps its address back.
+fn upstream_for_engine(load: &Load, engine: u32) -> Upstream {
     let port = 10_000 + u16::try_from(engine).unwrap_or(u16::MAX - 10_000);
     Upstream {
         address: ([127, 0, 0, 1], port).into(),
@@ -65,31 +70,35 @@
     }
 }
 
-/// Returns the engine at an address.
-pub(crate) fn engine_at(address: std::net::SocketAddr) -> usize {
+/// Returns the index of the engine with the given address.
+pub(crate) fn engine_index(address: std::net::SocketAddr) -> usize {
     usize::from(address.port() - 10_000)
 }
 
-/// Places a call, as the relay does.
+/// Chooses an engine for a request, or refuses the request.
+///
+/// `tried` holds the identifiers of the upstreams that the request was sent to before; `is_late`
+/// tells whether its caller was refused before and has come back.
 pub(crate) fn place(
     fleet: &mut Fleet,
     load: &Load,
     now: Duration,
-    call: &Call,
+    request: &Request,
     tried: &[Arc<str>],
     is_late: bool,
 ) -> Result<Placement, Refusal> {
-    let kind = &load.kinds[call.kind];
-    let remaining = call.deadline.saturating_sub(now);
-    let deadline = Deadline::new(now, Some(remaining), milliseconds(kind.deadline_ms));
-    let parts = [(1, 1), (call.key, kind.shared_tokens), (u64::MAX, kind.own_tokens)];
+    let kind = &load.kinds[request.kind];
+    let remaining = request.deadline.saturating_sub(now);
+    let deadline = Deadline::new(now, Some(remaining), duration_from_ms(kind.deadline_ms));
+    // One token that all prompts share, the part shared with some requests, and the own part.
+    let parts = [(1, 1), (request.key, kind.shared_tokens), (u64::MAX, kind.own_tokens)];
     let prompt = Prompt {
         parts: parts.map(|(id, tokens)| Part { id, tokens }).to_vec(),
         input_tokens: kind.shared_tokens + kind.own_tokens,
         output_tokens: kind.answer_tokens,
     };
     let demand = Demand {
-        prompt: Some(&prompt).filter(|_| load.placing == Placing::Reuse),
+        prompt: Some(&prompt).filter(|_| load.placement == PlacementMode::Reuse),
         zone: ZONE,
         tried,
         remaining,
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a load.
+//! The simulation: moves requests between callers, routers and engines in ticks of fixed length.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -11,18 +11,19 @@
 use teaselworks_policy::placement::Placement;
 use teaselworks_policy::upstream::{Incarnation, RequestOutcome};
 
-use crate::caller::{Call, arrivals, milliseconds};
+use crate::caller::{Request, arrivals, duration_from_ms};
 use crate::engine::{Engine, Job, Progress};
 use crate::load::Load;
-use crate::result::{Outcome, Window};
-use crate::router::{self, SERVICE, engine_at};
+use crate::result::{Outcome, RequestCounts};
+use crate::router::{self, SERVICE, engine_index};
 
-/// Time that is modelled at once.
+/// Length of a tick, the step by which simulated time advances.
 const TICK: Duration = Duration::from_millis(2);
-/// Time after the last call in which answers still come.
-const AFTERMATH: Duration = Duration::from_secs(15);
+/// Time for which the simulation continues after the last new request, so that answers in progress
+/// can finish.
+const DRAIN_TIME: Duration = Duration::from_secs(15);
 
-/// Plays a load; equal seeds give equal results.
+/// Simulates a load; equal seeds give equal results.
 ///
 /// ```
 /// use teaselworks_model::{Load, run};
@@ -31,45 +32,65 @@
 /// assert_eq!(run(&load, 1), run(&load, 1));
 /// ```
 pub fn run(load: &Load, seed: u64) -> Outcome {
-    Run::new(load, seed).play()
+    Simulation::new(load, seed).run()
 }
 
-/// A call that a router has sent to an engine.
-struct Sent {
+/// An attempt of a request that a router has sent to an engine.
+struct Attempt {
+    /// Index of the router.
     router: usize,
+    /// Index of the engine.
     engine: usize,
+    /// Incarnation of the upstream that stands for the engine.
     incarnation: Incarnation,
+    /// Index of another engine that may have more of the prompt cached.
     holder: Option<usize>,
-    at: Duration,
+    sent_at: Duration,
+    /// Identifiers of the upstreams that the router has sent the request to, this one included.
     tried: Vec<Arc<str>>,
+    /// Whether the router takes the caller for one that was refused before and has come back.
     is_late: bool,
 }
 
+/// A scheduled event; the number is the index of the request.
 #[derive(Clone, Debug)]
 enum Event {
-    Ask(usize),
-    Reach(usize),
-    Unreachable(usize),
+    /// A new or retried request arrives at a router.
+    ReachRouter(usize),
+    /// A request arrives at the engine that the router chose.
+    ReachEngine(usize),
+    /// The router's attempt to connect to an engine that is down has timed out.
+    ConnectTimeout(usize),
 }
 
-struct Run<'a> {
+/// State of a simulation. Routers, engines and requests are referred to by their index.
+struct Simulation<'a> {
     load: &'a Load,
     random: Pcg32,
+    /// Time since the start of the simulation.
     now: Duration,
     routers: Vec<Fleet>,
     engines: Vec<Engine>,
-    dark: Vec<bool>,
+    /// Whether each engine is down.
+    is_down: Vec<bool>,
+    /// Route of each kind of requests.
     routes: Vec<Route>,
-    calls: Vec<Call>,
-    sent: HashMap<usize, Sent>,
+    /// All requests so far.
+    requests: Vec<Request>,
+    /// The current attempt of each request that a router has sent to an engine.
+    in_flight: HashMap<usize, Attempt>,
+    /// Scheduled events, by the time at which they happen.
     events: BTreeMap<Duration, Vec<Event>>,
+    /// Time of the last exchange of observations between the routers.
     exchanged_at: Duration,
     outcome: Outcome,
 }
 
-impl<'a> Run<'a> {
+impl<'a> Simulation<'a> {
+    /// Creates the state at time zero; `seed` determines all random decisions.
     fn new(load: &'a Load, seed: u64) -> Self {
-        let routers = (0..load.routers).map(|number| router::router(load, number, seed)).collect();
+        let routers =
+            (0..load.routers).map(|number| router::new_router(load, number, seed)).collect();
         let engines = (0..load.engines.count).map(|_| Engine::new(load.engines)).collect();
         Self {
             load,
@@ -77,236 +98,268 @@
             now: Duration::ZERO,
             routers,
             engines,
-            dark: vec![false; load.engines.count as usize],
-            routes: (0..load.kinds.len()).map(|kind| router::route(load, kind)).collect(),
-            calls: Vec::new(),
-            sent: HashMap::new(),
+            is_down: vec![false; load.engines.count as usize],
+            routes: (0..load.kinds.len()).map(|kind| router::route_for_kind(load, kind)).collect(),
+            requests: Vec::new(),
+            in_flight: HashMap::new(),
             events: BTreeMap::new(),
             exchanged_at: Duration::ZERO,
             outcome: Outcome::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
+    /// Runs the simulation to its end.
+    fn run(mut self) -> Outcome {
         let length = Duration::from_secs_f64(self.load.length_s);
-        while self.now < length + AFTERMATH {
+        while self.now < length + DRAIN_TIME {
             if self.now < length {
-                self.arrive();
+                self.add_arrivals();
             }
-            self.darken();
-            self.exchange();
+            self.update_outages();
+            self.exchange_observations();
             while self.events.first_key_value().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, events) = self.events.pop_first().unwrap_or_default();
                 events.into_iter().for_each(|event| self.on_event(&event));
             }
-            self.work();
-            self.leave();
+            self.advance_engines();
+            self.expire_deadlines();
             self.now += TICK;
         }
         for engine in &self.engines {
-            self.outcome.totals.read_tokens += engine.missed.read;
-            self.outcome.totals.copied_tokens += engine.missed.copied;
+            self.outcome.totals.read_tokens += engine.cache_misses.read_tokens;
+            self.outcome.totals.copied_tokens += engine.cache_misses.copied_tokens;
         }
         self.outcome
     }
 
-    fn arrive(&mut self) {
-        for call in arrivals(self.load, self.now, TICK, &mut self.random) {
-            self.calls.push(call);
-            let number = self.calls.len() - 1;
-            self.count(number, |window| &mut window.asked);
-            self.on_event(&Event::Ask(number));
+    /// Sends the new requests of this tick to routers.
+    fn add_arrivals(&mut self) {
+        for request in arrivals(self.load, self.now, TICK, &mut self.random) {
+            self.requests.push(request);
+            let request = self.requests.len() - 1;
+            self.count(request, |counts| &mut counts.asked);
+            self.on_event(&Event::ReachRouter(request));
         }
     }
 
-    fn darken(&mut self) {
+    /// Starts and ends outages; an engine loses its requests and cache when it goes down.
+    fn update_outages(&mut self) {
         for engine in 0..self.engines.len() {
-            let is_dark = self.load.is_dark(engine as u32, self.now);
-            if std::mem::replace(&mut self.dark[engine], is_dark) == is_dark || !is_dark {
+            let is_down = self.load.is_down(engine as u32, self.now);
+            if std::mem::replace(&mut self.is_down[engine], is_down) == is_down || !is_down {
                 continue;
             }
-            // Its callers hear nothing: they wait until they leave.
+            // Callers are not told that their requests are lost, and wait until their deadline.
             self.engines[engine].crash();
         }
     }
 
-    /// Lets routers tell each other what they heard of engines, through the first of them.
-    fn exchange(&mut self) {
+    /// Shares the routers' new observations of engines: the first router collects them from the
+    /// others, and passes all of them on to each.
+    fn exchange_observations(&mut self) {
         let Some(interval_ms) = self.load.exchange_ms else { return };
-        if self.now < self.exchanged_at + milliseconds(interval_ms) {
+        if self.now < self.exchanged_at + duration_from_ms(interval_ms) {
             return;
         }
         let after = std::mem::replace(&mut self.exchanged_at, self.now);
-        let Some((reader, others)) = self.routers.split_first_mut() else { return };
+        let Some((collector, others)) = self.routers.split_first_mut() else { return };
         for router in others.iter() {
-            reader.hear(self.now, &router.sightings_after(self.now, after, true));
+            collector.hear(self.now, &router.sightings_after(self.now, after, true));
         }
-        let observations = reader.sightings_after(self.now, after, false);
+        let observations = collector.sightings_after(self.now, after, false);
         for router in others {
             router.hear(self.now, &observations);
         }
     }
 
+    /// Handles an event that is due.
     fn on_event(&mut self, event: &Event) {
         match *event {
-            Event::Ask(call) => {
-                self.calls[call].attempts += 1;
+            Event::ReachRouter(request) => {
+                self.requests[request].attempts += 1;
                 let router = self.random.random_range(0..self.routers.len());
-                let kind = self.calls[call].kind;
-                let left = self.calls[call].deadline.saturating_sub(self.now);
+                let kind = self.requests[request].kind;
+                let remaining = self.requests[request].deadline.saturating_sub(self.now);
                 let fleet = &mut self.routers[router];
                 let route = &self.routes[kind];
-                let is_late = fleet.on_request(self.now, &SERVICE.into(), route, Some(left));
-                self.place(call, router, Vec::new(), is_late);
+                let is_late = fleet.on_request(self.now, &SERVICE.into(), route, Some(remaining));
+                self.place(request, router, Vec::new(), is_late);
             }
-            Event::Reach(call) => self.reach(call),
-            Event::Unreachable(call) => {
-                let Some(sent) = self.end(call, Some(RequestOutcome::NoAnswer)) else { return };
-                self.place(call, sent.router, sent.tried, sent.is_late);
+            Event::ReachEngine(request) => self.on_reach_engine(request),
+            Event::ConnectTimeout(request) => {
+                let Some(ended) = self.end(request, Some(RequestOutcome::NoAnswer)) else { return };
+                self.place(request, ended.router, ended.tried, ended.is_late);
             }
         }
     }
 
-    fn place(&mut self, call: usize, router: usize, mut tried: Vec<Arc<str>>, is_late: bool) {
+    /// Lets a router choose an engine for a request, and sends the request there.
+    fn place(&mut self, request: usize, router: usize, mut tried: Vec<Arc<str>>, is_late: bool) {
         let fleet = &mut self.routers[router];
-        let placed = router::place(fleet, self.load, self.now, &self.calls[call], &tried, is_late);
-        let Placement { upstream, holder, .. } = match placed {
+        let result =
+            router::place(fleet, self.load, self.now, &self.requests[request], &tried, is_late);
+        let Placement { upstream, holder, .. } = match result {
             Ok(placement) => placement,
             Err(refusal) => {
-                return self.refuse(call, refusal.retry_after.unwrap_or_default());
+                return self.on_refused(request, refusal.retry_after.unwrap_or_default());
             }
         };
         tried.push(upstream.id.clone());
-        let engine = engine_at(upstream.address);
+        let engine = engine_index(upstream.address);
         let incarnation = upstream.incarnation();
-        let holder = holder.map(engine_at);
-        let at = self.now;
-        let sent = Sent { router, engine, incarnation, holder, at, tried, is_late };
-        self.sent.insert(call, sent);
-        let way = self.way();
+        let holder = holder.map(engine_index);
+        let sent_at = self.now;
+        let attempt = Attempt { router, engine, incarnation, holder, sent_at, tried, is_late };
+        self.in_flight.insert(request, attempt);
+        let delay = self.one_way_delay();
         let connect_times = &mut self.routers[router].connect_times;
-        if self.dark[engine] {
-            let wait = connect_times.timeout();
+        if self.is_down[engine] {
+            let timeout = connect_times.timeout();
             connect_times.on_timeout();
-            return self.schedule(wait, Event::Unreachable(call));
+            return self.schedule(timeout, Event::ConnectTimeout(request));
         }
-        connect_times.on_opened(2 * way);
-        self.schedule(way, Event::Reach(call));
+        connect_times.on_opened(2 * delay);
+        self.schedule(delay, Event::ReachEngine(request));
     }
 
-    fn way(&self) -> Duration {
-        milliseconds(self.load.way_ms)
+    /// Returns the one-way network delay between a router and an engine.
+    fn one_way_delay(&self) -> Duration {
+        duration_from_ms(self.load.one_way_delay_ms)
     }
 
-    fn schedule(&mut self, wait: Duration, event: Event) {
-        self.events.entry(self.now + wait).or_default().push(event);
+    /// Schedules `event` to happen after `delay`.
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.events.entry(self.now + delay).or_default().push(event);
     }
 
-    fn refuse(&mut self, call: usize, retry_after: Duration) {
-        if self.calls[call].returns() && self.now + retry_after < self.calls[call].deadline {
-            self.schedule(retry_after, Event::Ask(call));
+    /// Schedules the retry of a refused request, or counts it as refused if its caller has no retry
+    /// or no time left.
+    fn on_refused(&mut self, request: usize, retry_after: Duration) {
+        if self.requests[request].may_retry()
+            && self.now + retry_after < self.requests[request].deadline
+        {
+            self.schedule(retry_after, Event::ReachRouter(request));
             return;
         }
-        self.count(call, |window| &mut window.refused);
+        self.count(request, |counts| &mut counts.refused);
     }
 
-    fn reach(&mut self, call: usize) {
-        let Some(sent) = self.sent.get(&call) else { return };
-        let (engine, router) = (sent.engine, sent.router);
-        let Call { kind, key, answer_tokens, .. } = self.calls[call];
-        let is_held =
-            sent.holder.is_some_and(|holder| !self.dark[holder] && self.engines[holder].keeps(key));
-        self.count_bound(engine);
+    /// Adds a request to the queue of its engine; a full queue counts as a refusal.
+    fn on_reach_engine(&mut self, request: usize) {
+        let Some(attempt) = self.in_flight.get(&request) else { return };
+        let (engine, router) = (attempt.engine, attempt.router);
+        let Request { kind, key, answer_tokens, .. } = self.requests[request];
+        let is_cached_elsewhere = attempt
+            .holder
+            .is_some_and(|holder| !self.is_down[holder] && self.engines[holder].has_cached(key));
+        self.record_load(engine);
         let kind = &self.load.kinds[kind];
         let job = Job {
-            call,
+            request,
             key,
             shared_tokens: kind.shared_tokens,
             own_tokens: kind.own_tokens,
             answer_tokens,
         };
         let shared_tokens = u64::from(job.shared_tokens);
-        if self.engines[engine].offer(job, is_held) {
+        if self.engines[engine].enqueue(job, is_cached_elsewhere) {
             self.outcome.totals.shared_tokens += shared_tokens;
             return;
         }
-        self.end(call, Some(RequestOutcome::Error));
-        let latest = self.calls[call].deadline.saturating_sub(self.now) / 3;
-        let retry_after = self.routers[router].return_after(self.now, SERVICE, latest);
-        self.refuse(call, retry_after);
+        self.end(request, Some(RequestOutcome::Error));
+        let max_retry_after = self.requests[request].deadline.saturating_sub(self.now) / 3;
+        let retry_after = self.routers[router].return_after(self.now, SERVICE, max_retry_after);
+        self.on_refused(request, retry_after);
     }
 
-    fn count_bound(&mut self, engine: usize) {
-        let total: usize = self.engines.iter().map(Engine::holds).sum();
+    /// Records the load of `engine`, which a request has just reached, compared to the mean load.
+    ///
+    /// The bound on load is the `load_factor` of the routers (2) times the mean load, plus three
+    /// requests.
+    fn record_load(&mut self, engine: usize) {
+        let total: usize = self.engines.iter().map(Engine::request_count).sum();
         let mean = total as f64 / self.engines.len() as f64;
         let totals = &mut self.outcome.totals;
         totals.reached += 1;
-        totals.beyond_bound += u64::from(self.engines[engine].holds() as f64 > 2.0 * mean + 3.0);
-        let busiest = self.engines.iter().map(Engine::holds).max().unwrap_or(0);
-        totals.busiest_percent += (100.0 * busiest as f64 / mean.max(1.0)) as u64;
+        totals.beyond_bound +=
+            u64::from(self.engines[engine].request_count() as f64 > 2.0 * mean + 3.0);
+        let busiest = self.engines.iter().map(Engine::request_count).max().unwrap_or(0);
+        totals.busiest_percent_sum += (100.0 * busiest as f64 / mean.max(1.0)) as u64;
     }
 
-    fn work(&mut self) {
+    /// Processes requests at all engines for one tick.
+    fn advance_engines(&mut self) {
         for engine in 0..self.engines.len() {
-            if self.dark[engine] {
+            if self.is_down[engine] {
                 continue;
             }
-            for progress in self.engines[engine].work(self.now, TICK) {
+            for progress in self.engines[engine].advance(self.now, TICK) {
                 match progress {
-                    Progress::First(call) => self.on_first(call),
-                    Progress::Done(call) => self.on_done(call),
+                    Progress::FirstToken(request) => self.on_first_token(request),
+                    Progress::Finished(request) => self.on_finished(request),
                 }
             }
         }
     }
 
-    fn on_first(&mut self, call: usize) {
-        let Some(sent) = self.sent.get(&call) else { return };
-        self.calls[call].first_at = Some(self.now);
-        let fleet = &mut self.routers[sent.router];
-        fleet.first_byte(self.now, SERVICE, self.now.saturating_sub(sent.at));
-        if let Some(report) = self.engines[sent.engine].report(self.now) {
-            fleet.report(self.now, SERVICE, &sent.incarnation, report);
+    /// Passes the first token's latency and the engine's load report to the router.
+    fn on_first_token(&mut self, request: usize) {
+        let Some(attempt) = self.in_flight.get(&request) else { return };
+        self.requests[request].first_token_at = Some(self.now);
+        let fleet = &mut self.routers[attempt.router];
+        fleet.first_byte(self.now, SERVICE, self.now.saturating_sub(attempt.sent_at));
+        if let Some(report) = self.engines[attempt.engine].delayed_report(self.now) {
+            fleet.report(self.now, SERVICE, &attempt.incarnation, report);
         }
     }
 
-    fn on_done(&mut self, call: usize) {
-        let Some(sent) = self.end(call, Some(RequestOutcome::Answered)) else { return };
-        let route = &self.routes[self.calls[call].kind].name;
-        self.routers[sent.router].on_answered(route, self.now.saturating_sub(sent.at));
-        let Call { kind, asked_at, first_at, .. } = self.calls[call];
-        let wait = first_at.unwrap_or(self.now).saturating_sub(asked_at);
+    /// Ends a request whose answer is complete, and counts it as in time or late.
+    fn on_finished(&mut self, request: usize) {
+        let Some(ended) = self.end(request, Some(RequestOutcome::Answered)) else { return };
+        let route = &self.routes[self.requests[request].kind].name;
+        self.routers[ended.router].on_answered(route, self.now.saturating_sub(ended.sent_at));
+        let Request { kind, asked_at, first_token_at, .. } = self.requests[request];
+        let wait = first_token_at.unwrap_or(self.now).saturating_sub(asked_at);
         let waits = self.outcome.waits_ms.entry(self.load.kinds[kind].name.to_string());
         waits.or_default().push(u32::try_from(wait.as_millis()).unwrap_or(u32::MAX));
-        if self.calls[call].is_in_time(self.load) {
-            self.count(call, |window| &mut window.in_time);
+        if self.requests[request].is_in_time(self.load) {
+            self.count(request, |counts| &mut counts.in_time);
         } else {
-            self.count(call, |window| &mut window.late);
+            self.count(request, |counts| &mut counts.late);
         }
     }
 
-    fn count(&mut self, call: usize, counter: impl Fn(&mut Window) -> &mut u32) {
-        let Call { asked_at, kind, .. } = self.calls[call];
+    /// Increments a counter for a request.
+    fn count(&mut self, request: usize, counter: impl Fn(&mut RequestCounts) -> &mut u32) {
+        let Request { asked_at, kind, .. } = self.requests[request];
         self.outcome.count(asked_at, &self.load.kinds[kind].name, counter);
     }
 
-    /// Takes a call off its engine at the router.
-    fn end(&mut self, call: usize, request_outcome: Option<RequestOutcome>) -> Option<Sent> {
-        let sent = self.sent.remove(&call)?;
-        let held = self.now.saturating_sub(sent.at);
-        self.routers[sent.router].end(self.now, SERVICE, &sent.incarnation, request_outcome, held);
-        Some(sent)
+    /// Ends the attempt of a request and tells its router how it ended; returns the attempt, or
+    /// `None` if the request has none.
+    fn end(&mut self, request: usize, request_outcome: Option<RequestOutcome>) -> Option<Attempt> {
+        let attempt = self.in_flight.remove(&request)?;
+        let held = self.now.saturating_sub(attempt.sent_at);
+        self.routers[attempt.router].end(
+            self.now,
+            SERVICE,
+            &attempt.incarnation,
+            request_outcome,
+            held,
+        );
+        Some(attempt)
     }
 
-    fn leave(&mut self) {
-        let is_over = |call: &usize| self.calls[*call].deadline <= self.now;
-        let mut over: Vec<usize> = self.sent.keys().copied().filter(is_over).collect();
-        over.sort_unstable();
-        for call in over {
-            // Silence until the end of a request's time is a request outcome.
-            let Some(sent) = self.end(call, Some(RequestOutcome::NoAnswer)) else { continue };
-            self.engines[sent.engine].cancel(call);
-            self.count(call, |window| &mut window.failed);
+    /// Ends the requests whose deadline has passed, and counts them as failed.
+    fn expire_deadlines(&mut self) {
+        let is_expired = |request: &usize| self.requests[*request].deadline <= self.now;
+        let mut expired: Vec<usize> = self.in_flight.keys().copied().filter(is_expired).collect();
+        expired.sort_unstable();
+        for request in expired {
+            // The router counts an engine that has not answered by the deadline as failed.
+            let Some(ended) = self.end(request, Some(RequestOutcome::NoAnswer)) else { continue };
+            self.engines[ended.engine].cancel(request);
+            self.count(request, |counts| &mut counts.failed);
         }
     }
 }
