--- a/teaselworks_model/tests/loads.rs
+++ b/teaselworks_model/tests/loads.rs
@@ -1,4 +1,5 @@
-//! Recorded loads, replayed against the routers' decisions.
+//! Simulations of the recorded loads, which check that callers are served and that engines are not
+//! overloaded.
 
 use teaselworks_model::{Load, Outcome, run};
 
@@ -14,7 +15,8 @@
 const COLD_HOT_KEY: &str = include_str!("../loads/cold-hot-key.jsonc");
 const DARK_THIRD: &str = include_str!("../loads/dark-third.jsonc");
 
-fn replay(text: &str, check: impl Fn(&Outcome)) {
+/// Simulates the load `text` with every seed, and passes each result to `check`.
+fn simulate(text: &str, check: impl Fn(&Outcome)) {
     let load = Load::parse(text).unwrap();
     for seed in SEEDS {
         let outcome = run(&load, seed);
@@ -23,145 +25,152 @@
     }
 }
 
-fn in_time(outcome: &Outcome, from_s: u64, to_s: u64) -> f64 {
-    let windows = || outcome.windows.range(from_s..to_s).map(|(_, window)| window);
-    let asked: u32 = windows().map(|window| window.asked).sum();
-    f64::from(windows().map(|window| window.in_time).sum::<u32>()) / f64::from(asked)
+/// Returns the fraction of the requests sent from `from_s` to `to_s` that were answered in time.
+fn in_time_share(outcome: &Outcome, from_s: u64, to_s: u64) -> f64 {
+    let windows = || outcome.windows.range(from_s..to_s).map(|(_, counts)| counts);
+    let asked: u32 = windows().map(|counts| counts.asked).sum();
+    f64::from(windows().map(|counts| counts.in_time).sum::<u32>()) / f64::from(asked)
 }
 
-/// Guards against refusals where there is room for everybody.
+/// Guards against late answers and refusals while the engines have capacity for all requests.
 #[test]
 fn usual_requests_are_all_answered_in_time() {
-    replay(CALM, |outcome| {
-        for (at, window) in &outcome.windows {
-            assert_eq!((window.in_time, window.refused), (window.asked, 0), "second {at}");
+    simulate(CALM, |outcome| {
+        for (at, counts) in &outcome.windows {
+            assert_eq!((counts.in_time, counts.refused), (counts.asked, 0), "window at {at} s");
         }
     });
 }
 
-/// Guards against engines whose queues hold more than callers wait for, so that under a burst every
-/// answer is late.
+/// Guards against a burst in which every answer is late: routers send the engines more requests
+/// than they can answer in time, and the queues grow until all requests wait too long.
 #[test]
-fn a_burst_beyond_all_capacity_leaves_a_share_that_is_served_in_time() {
-    replay(BURST, |outcome| {
-        assert!(in_time(outcome, 4, 10) > 0.33);
+fn some_requests_are_served_in_time_in_a_burst_beyond_capacity() {
+    simulate(BURST, |outcome| {
+        assert!(in_time_share(outcome, 4, 10) > 0.33);
         for at in [6, 8] {
-            assert!(in_time(outcome, at, at + 2) > 0.22, "second {at}");
+            assert!(in_time_share(outcome, at, at + 2) > 0.22, "window at {at} s");
         }
     });
 }
 
-/// Guards against returning callers who keep a service down after its load has passed.
+/// Guards against a service that stays overloaded after a burst has ended, because refused callers
+/// retry their requests.
 #[test]
-fn a_service_is_whole_again_soon_after_a_burst() {
-    replay(BURST, |outcome| {
-        assert!(in_time(outcome, 10, 14) > 0.6);
-        assert!(in_time(outcome, 14, 20) > 0.97);
+fn a_service_recovers_soon_after_a_burst() {
+    simulate(BURST, |outcome| {
+        assert!(in_time_share(outcome, 10, 14) > 0.6);
+        assert!(in_time_share(outcome, 14, 20) > 0.97);
     });
 }
 
-/// Guards against prompts that are read or copied anew at every replica, since the least loaded of
-/// all is chosen where all are full.
+/// Guards against prompts that every engine reads or copies again: if all engines are full and the
+/// least loaded of all is chosen, requests with the same prompt go to many engines.
 #[test]
-fn a_burst_keeps_prompts_where_they_are() {
-    replay(BURST, |outcome| {
+fn a_burst_mostly_reuses_cached_prompts() {
+    simulate(BURST, |outcome| {
         assert!(outcome.totals.read_tokens < 1_400_000);
         assert!(outcome.totals.copied_tokens < 2_500_000);
     });
 }
 
-/// Guards against a kind of request that never finds a place under load.
+/// Guards against a kind of request of which far fewer are answered than of the others, because
+/// under load the routers refuse most of them.
 #[test]
 fn no_kind_starves_under_a_burst() {
-    replay(BURST, |outcome| {
-        let served = |name: &str| {
-            let window = &outcome.kinds[name];
-            f64::from(window.in_time + window.late) / f64::from(window.asked)
+    simulate(BURST, |outcome| {
+        let answered_share = |name: &str| {
+            let counts = &outcome.kinds[name];
+            f64::from(counts.in_time + counts.late) / f64::from(counts.asked)
         };
-        let shares = ["commentary", "gloss", "tag"].map(served);
+        let shares = ["commentary", "gloss", "tag"].map(answered_share);
         for share in shares {
             assert!(share > 0.5 * shares.iter().copied().fold(0.0, f64::max), "{shares:?}");
         }
     });
 }
 
-/// Guards against refusals of what a service can just bear.
+/// Guards against refusals during a burst that the engines can just handle.
 #[test]
-fn a_burst_within_reach_is_mostly_served_in_time() {
-    replay(SMALL_BURST, |outcome| {
-        assert!(in_time(outcome, 4, 10) > 0.85);
-        assert!(in_time(outcome, 12, 20) > 0.98);
-        let refused: u32 = outcome.windows.values().map(|window| window.refused).sum();
-        assert!(refused < 300, "{refused}");
+fn a_burst_within_capacity_is_mostly_served_in_time() {
+    simulate(SMALL_BURST, |outcome| {
+        assert!(in_time_share(outcome, 4, 10) > 0.85);
+        assert!(in_time_share(outcome, 12, 20) > 0.98);
+        let refused: u32 = outcome.windows.values().map(|counts| counts.refused).sum();
+        assert!(refused < 300, "{refused} requests refused");
     });
 }
 
-/// Guards against a fleet that stays broken after a third of its engines was dark in a burst.
+/// Guards against a fleet that stays overloaded after an outage of a third of its engines during a
+/// burst.
 #[test]
-fn a_fleet_that_lost_a_third_in_a_burst_serves_on_and_recovers() {
-    replay(DARK_THIRD, |outcome| {
-        assert!(in_time(outcome, 6, 12) > 0.5);
-        assert!(in_time(outcome, 14, 20) > 0.97);
+fn a_fleet_that_loses_a_third_of_its_engines_in_a_burst_keeps_serving_and_recovers() {
+    simulate(DARK_THIRD, |outcome| {
+        assert!(in_time_share(outcome, 6, 12) > 0.5);
+        assert!(in_time_share(outcome, 14, 20) > 0.97);
     });
 }
 
-/// Guards against engines far beyond the others in a fleet of which each router hears too rarely.
+/// Guards against engines with far more load than the others: each of many routers gets load
+/// reports of an engine too rarely to know its load.
 #[test]
 fn many_routers_keep_the_bound_on_load() {
-    replay(MANY_ROUTERS, |outcome| {
-        let beyond = outcome.totals.beyond_bound as f64 / outcome.totals.reached as f64;
-        assert!(beyond < 0.03, "{beyond}");
-        assert!(in_time(outcome, 2, 12) > 0.95);
+    simulate(MANY_ROUTERS, |outcome| {
+        let beyond_share = outcome.totals.beyond_bound as f64 / outcome.totals.reached as f64;
+        assert!(beyond_share < 0.03, "{beyond_share}");
+        assert!(in_time_share(outcome, 2, 12) > 0.95);
     });
 }
 
-/// Guards against many routers that act on the same late report, so that engines hold far more than
-/// they answer in time.
+/// Guards against engines that get far more requests than they can answer in time, because many
+/// routers act on the same outdated load report.
 #[test]
 fn many_routers_serve_a_burst_in_time() {
-    replay(MANY_ROUTERS_BURST, |outcome| {
-        assert!(in_time(outcome, 6, 12) > 0.45);
-        assert!(in_time(outcome, 14, 18) > 0.87);
+    simulate(MANY_ROUTERS_BURST, |outcome| {
+        assert!(in_time_share(outcome, 6, 12) > 0.45);
+        assert!(in_time_share(outcome, 14, 18) > 0.87);
     });
 }
 
-/// Guards against many routers that each find every dark engine by themselves.
+/// Guards against requests lost to engines that are down, because each of many routers has to
+/// detect every outage by itself.
 #[test]
 fn many_routers_soon_leave_dark_engines() {
-    replay(MANY_ROUTERS_DARK, |outcome| {
-        assert!(in_time(outcome, 4, 9) > 0.95);
-        assert!(in_time(outcome, 10, 14) > 0.97);
+    simulate(MANY_ROUTERS_DARK, |outcome| {
+        assert!(in_time_share(outcome, 4, 9) > 0.95);
+        assert!(in_time_share(outcome, 10, 14) > 0.97);
     });
 }
 
-/// Guards against many routers that all send a hot key to its first replica before any report shows
-/// it full.
+/// Guards against an overloaded engine: many routers all send requests with a hot key to the key's
+/// first engine before any load report shows that the engine is full.
 #[test]
 fn many_routers_spread_a_hot_key() {
-    replay(MANY_ROUTERS_HOT_KEY, |outcome| {
-        let beyond = outcome.totals.beyond_bound as f64 / outcome.totals.reached as f64;
-        assert!(beyond < 0.03, "{beyond}");
+    simulate(MANY_ROUTERS_HOT_KEY, |outcome| {
+        let beyond_share = outcome.totals.beyond_bound as f64 / outcome.totals.reached as f64;
+        assert!(beyond_share < 0.03, "{beyond_share}");
     });
 }
 
-/// Guards against prompts that are copied elsewhere though replicas are nearly idle.
+/// Guards against prompts that are copied to other engines although the engines are nearly idle.
 #[test]
-fn a_calm_service_keeps_prompts_where_they_are() {
+fn a_lightly_loaded_service_copies_few_cached_prompts() {
     let load = Load::parse(CALM).unwrap();
     let totals = SEEDS.map(|seed| run(&load, seed).totals);
     let copied: u64 = totals.iter().map(|totals| totals.copied_tokens).sum();
     let shared: u64 = totals.iter().map(|totals| totals.shared_tokens).sum();
-    let copied = copied as f64 / shared as f64;
-    assert!(copied < 0.034, "{copied}");
+    let copied_share = copied as f64 / shared as f64;
+    assert!(copied_share < 0.034, "{copied_share}");
 }
 
-/// Guards against routers that have heard of no engine yet and all send a hot key to its first one.
+/// Guards against an overloaded engine: routers that have no load reports yet all send requests
+/// with a hot key to the key's first engine.
 #[test]
 fn routers_that_know_nothing_yet_spread_a_hot_key() {
     let load = Load::parse(COLD_HOT_KEY).unwrap();
     let totals = SEEDS.map(|seed| run(&load, seed).totals);
     let beyond: u64 = totals.iter().map(|totals| totals.beyond_bound).sum();
     let reached: u64 = totals.iter().map(|totals| totals.reached).sum();
-    let beyond = beyond as f64 / reached as f64;
-    assert!(beyond < 0.03, "{beyond}");
+    let beyond_share = beyond as f64 / reached as f64;
+    assert!(beyond_share < 0.03, "{beyond_share}");
 }
