--- a/teaselworks/src/cli/experiment.rs
+++ b/teaselworks/src/cli/experiment.rs
@@ -12,5 +12,5 @@
 pub(super) fn run(matches: &ArgMatches, out: &mut dyn Write) -> Result<(), CommandError> {
     let file = matches.get_one::<PathBuf>("file").expect("clap requires `file`");
     let folder = matches.get_one::<PathBuf>("out").map(PathBuf::as_path);
-    Ok(experiment::play(file, folder, out)?)
+    Ok(experiment::run_experiment(file, folder, out)?)
 }
--- a/teaselworks/src/experiment/mod.rs
+++ b/teaselworks/src/experiment/mod.rs
@@ -58,11 +58,11 @@
 ///
 /// ```
 /// use std::path::Path;
-/// use teaselworks::experiment::play;
+/// use teaselworks::experiment::run_experiment;
 ///
-/// assert!(play(Path::new("no-such-file.jsonc"), None, &mut Vec::new()).is_err());
+/// assert!(run_experiment(Path::new("no-such-file.jsonc"), None, &mut Vec::new()).is_err());
 /// ```
-pub fn play(
+pub fn run_experiment(
     file: &Path,
     folder: Option<&Path>,
     out: &mut dyn Write,
--- a/teaselworks/tests/experiment.rs
+++ b/teaselworks/tests/experiment.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-use teaselworks::experiment::{ExperimentError, play};
+use teaselworks::experiment::{ExperimentError, run_experiment};
 
 const LOAD: &str = include_str!("../../teaselworks_model/loads/calm.jsonc");
 const PLAN: &str = r#"{
@@ -20,7 +20,7 @@
     fs::write(folder.join("small.jsonc"), load).unwrap();
     fs::write(folder.join("plan.jsonc"), plan).unwrap();
     let mut out = Vec::new();
-    play(&folder.join("plan.jsonc"), Some(folder), &mut out)?;
+    run_experiment(&folder.join("plan.jsonc"), Some(folder), &mut out)?;
     Ok(String::from_utf8(out).unwrap())
 }
 
