--- a/teaselworks_model/tests/loads.rs
+++ b/teaselworks_model/tests/loads.rs
@@ -135,7 +135,7 @@
 /// Guards against requests lost to engines that are down, because each of many routers has to
 /// detect every outage by itself.
 #[test]
-fn many_routers_soon_leave_dark_engines() {
+fn many_routers_soon_avoid_engines_that_are_down() {
     simulate(MANY_ROUTERS_DARK, |outcome| {
         assert!(in_time_share(outcome, 4, 9) > 0.95);
         assert!(in_time_share(outcome, 10, 14) > 0.97);
