--- a/teaselworks_model/tests/loads.rs
+++ b/teaselworks_model/tests/loads.rs
@@ -166,7 +166,7 @@
 /// Guards against an overloaded engine: routers that have no load reports yet all send requests
 /// with a hot key to the key's first engine.
 #[test]
-fn routers_that_know_nothing_yet_spread_a_hot_key() {
+fn routers_without_load_reports_spread_a_hot_key() {
     let load = Load::parse(COLD_HOT_KEY).unwrap();
     let totals = SEEDS.map(|seed| run(&load, seed).totals);
     let beyond: u64 = totals.iter().map(|totals| totals.beyond_bound).sum();
