--- a/teaselworks/src/experiment/table.rs
+++ b/teaselworks/src/experiment/table.rs
@@ -113,7 +113,7 @@
     outcome.waits_ms.values().flatten().copied().collect()
 }
 
-/// Returns a quantile, from 0 to 1, of the waits in milliseconds, or 0 if there are none.
+/// Returns the wait in milliseconds at `quantile`, a number from 0 to 1; 0 if there are no waits.
 fn wait_quantile(waits_ms: &[u32], quantile: f64) -> f64 {
     let mut sorted = waits_ms.to_vec();
     sorted.sort_unstable();
--- a/teaselworks_model/src/load.rs
+++ b/teaselworks_model/src/load.rs
@@ -64,7 +64,7 @@
     pub slots: u32,
     /// Length of an engine's queue; an engine rejects requests while its queue is full.
     pub queue: u32,
-    /// Duration of a step without the share of the requests.
+    /// Duration of a step before the time for each request is added.
     pub step_ms: f64,
     /// Time by which each request that is generating its answer extends a step.
     pub step_ms_per_request: f64,
