--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -58,7 +58,7 @@
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identifier of this attempt of the caller.
     pub id: Arc<str>,
     /// How long the caller waits.
@@ -90,7 +90,7 @@
 ///
 /// assert_eq!(read_request(&HeaderMap::new()), Err(HeadError::RequestId));
 /// ```
-pub fn read_request(headers: &HeaderMap) -> Result<RequestFacts, HeadError> {
+pub fn read_request(headers: &HeaderMap) -> Result<RequestMetadata, HeadError> {
     let id =
         single(headers, &REQUEST_ID).filter(|id| !id.is_empty()).ok_or(HeadError::RequestId)?;
     let deadline = match (headers.contains_key(&DEADLINE), single(headers, &DEADLINE)) {
@@ -100,7 +100,7 @@
     let key = single(headers, &header::AUTHORIZATION)
         .and_then(|value| value.strip_prefix("Bearer "))
         .map(|key| key.trim().to_owned());
-    Ok(RequestFacts { id: id.into(), deadline, key, prompt: prompt(headers) })
+    Ok(RequestMetadata { id: id.into(), deadline, key, prompt: prompt(headers) })
 }
 
 /// Returns the host that a request names.
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -16,14 +16,14 @@
 use teaselworks_policy::verdict::RefusalReason;
 
 use super::body::{self, BodyError, Outgoing};
-use crate::platform::headers::{self, RequestFacts};
+use crate::platform::headers::{self, RequestMetadata};
 
 /// Largest body that is read before the request is sent on, so that it can be sent again.
 const HELD_BODY_SIZE_BYTES: usize = 128 << 10;
 
 /// A request that may be served.
 pub(super) struct Prepared {
-    pub(super) facts: RequestFacts,
+    pub(super) facts: RequestMetadata,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
@@ -46,7 +46,7 @@
 /// Checks the head of a request.
 pub(super) fn check(
     head: Parts,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     configuration: &Configuration,
     now: Duration,
 ) -> Result<Prepared, RefusalReason> {
