--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -217,7 +217,7 @@
 
 /// What the head of an upstream's answer says.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// Identifier of the request that it answers.
     pub id: Option<Box<str>>,
     /// It bears the upstream's signature.
@@ -240,9 +240,9 @@
 const MISDIRECTED: u16 = 421;
 
 /// Reads the head of an upstream's answer.
-pub fn read_answer(status: u16, headers: &HeaderMap) -> AnswerFacts {
+pub fn read_answer(status: u16, headers: &HeaderMap) -> ResponseMetadata {
     let is_moved = status == MISDIRECTED;
-    AnswerFacts {
+    ResponseMetadata {
         id: single(headers, &REQUEST_ID).map(Box::from),
         is_signed: headers.contains_key(&STAMP),
         is_not_run: is_moved || headers.contains_key(&NOT_EXECUTED),
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -14,13 +14,13 @@
 use super::body::Outgoing;
 use super::request::Prepared;
 use super::upstream_connection::Connection;
-use crate::platform::headers::{self, AnswerFacts, Passing};
+use crate::platform::headers::{self, Passing, ResponseMetadata};
 
 /// An answer whose head was checked: it belongs to the request.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) facts: AnswerFacts,
+    pub(super) facts: ResponseMetadata,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
 }
@@ -142,7 +142,7 @@
 
 /// Checks that an answer is one to the request, and that it was run; an upstream may send a second
 /// answer on a kept connection.
-fn check(facts: &AnswerFacts, status: StatusCode, request_id: &str) -> Result<(), Failure> {
+fn check(facts: &ResponseMetadata, status: StatusCode, request_id: &str) -> Result<(), Failure> {
     let is_foreign = match &facts.id {
         Some(id) => **id != *request_id,
         // An upstream that turns a request away may not have read its identifier.
