--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -86,11 +86,11 @@
 ///
 /// ```
 /// use http::HeaderMap;
-/// use teaselworks::platform::headers::{HeadError, read_request};
+/// use teaselworks::platform::headers::{HeadError, parse_request_headers};
 ///
-/// assert_eq!(read_request(&HeaderMap::new()), Err(HeadError::RequestId));
+/// assert_eq!(parse_request_headers(&HeaderMap::new()), Err(HeadError::RequestId));
 /// ```
-pub fn read_request(headers: &HeaderMap) -> Result<RequestMetadata, HeadError> {
+pub fn parse_request_headers(headers: &HeaderMap) -> Result<RequestMetadata, HeadError> {
     let id =
         single(headers, &REQUEST_ID).filter(|id| !id.is_empty()).ok_or(HeadError::RequestId)?;
     let deadline = match (headers.contains_key(&DEADLINE), single(headers, &DEADLINE)) {
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -36,7 +36,7 @@
     activity: &Activity,
 ) -> Response<Outgoing> {
     let (head, incoming) = request.into_parts();
-    let facts = match headers::read_request(&head.headers) {
+    let facts = match headers::parse_request_headers(&head.headers) {
         Ok(facts) => facts,
         Err(_) => {
             let progress = Progress::begin(shared, "".into());
--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use proptest::prelude::*;
-use teaselworks::platform::headers::{read_answer, read_request};
+use teaselworks::platform::headers::{parse_request_headers, read_answer};
 
 fn headers(pairs: &[(&'static str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
@@ -19,7 +19,7 @@
         ("x-token-usage", "1460,80"),
         ("x-prompt-prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
     ]);
-    let prompt = read_request(&headers).unwrap().prompt.unwrap();
+    let prompt = parse_request_headers(&headers).unwrap().prompt.unwrap();
     assert_eq!((prompt.input_tokens, prompt.output_tokens), (1_460, 80));
     assert_eq!(prompt.key(), Some(0x91bd_3f06));
 }
@@ -28,7 +28,7 @@
 fn a_prompt_that_cannot_be_read_is_none() {
     for usage in ["", "1460", "many,80", "-1,80"] {
         let headers = headers(&[("x-request-id", "1"), ("x-token-usage", usage)]);
-        assert_eq!(read_request(&headers).unwrap().prompt, None, "{usage}");
+        assert_eq!(parse_request_headers(&headers).unwrap().prompt, None, "{usage}");
     }
 }
 
@@ -51,7 +51,7 @@
         ];
         let pairs: Vec<_> = names.into_iter().zip(values.iter().map(String::as_str)).collect();
         let headers = headers(&pairs);
-        let _ = read_request(&headers);
+        let _ = parse_request_headers(&headers);
         let _ = read_answer(200, &headers);
     }
 }
