--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -240,7 +240,7 @@
 const MISDIRECTED: u16 = 421;
 
 /// Reads the head of an upstream's answer.
-pub fn read_answer(status: u16, headers: &HeaderMap) -> ResponseMetadata {
+pub fn parse_response_headers(status: u16, headers: &HeaderMap) -> ResponseMetadata {
     let is_moved = status == MISDIRECTED;
     ResponseMetadata {
         id: single(headers, &REQUEST_ID).map(Box::from),
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -110,7 +110,7 @@
             }
         };
         let (head, body) = answer.into_parts();
-        let facts = headers::read_answer(head.status.as_u16(), &head.headers);
+        let facts = headers::parse_response_headers(head.status.as_u16(), &head.headers);
         connection.set_keep_alive(facts.keep_alive);
         let checked = check(&facts, head.status, &self.prepared.facts.id);
         let headers = headers::answered(&head.headers);
--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use proptest::prelude::*;
-use teaselworks::platform::headers::{parse_request_headers, read_answer};
+use teaselworks::platform::headers::{parse_request_headers, parse_response_headers};
 
 fn headers(pairs: &[(&'static str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
@@ -35,11 +35,11 @@
 #[test]
 fn loads_and_timeouts_are_read_where_they_are_stated() {
     let headers = headers(&[("x-server-load", "3, 1, 8"), ("keep-alive", "max=9, timeout=4")]);
-    let facts = read_answer(200, &headers);
+    let facts = parse_response_headers(200, &headers);
     assert_eq!(facts.load.map(|load| (load.running, load.waiting)), Some((3, 1)));
     assert_eq!(facts.keep_alive.map(|time| time.as_secs()), Some(4));
     assert!(!facts.is_signed && !facts.is_not_run && !facts.closes);
-    assert!(read_answer(421, &HeaderMap::new()).is_not_run);
+    assert!(parse_response_headers(421, &HeaderMap::new()).is_not_run);
 }
 
 proptest! {
@@ -52,6 +52,6 @@
         let pairs: Vec<_> = names.into_iter().zip(values.iter().map(String::as_str)).collect();
         let headers = headers(&pairs);
         let _ = parse_request_headers(&headers);
-        let _ = read_answer(200, &headers);
+        let _ = parse_response_headers(200, &headers);
     }
 }
