--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -165,7 +165,7 @@
 const LAST_PRIORITY: u8 = 9;
 
 /// Returns the headers of a request as they are passed on, without those of framing.
-pub fn passed_on(headers: &HeaderMap, passing: &Passing<'_>) -> HeaderMap {
+pub fn upstream_request_headers(headers: &HeaderMap, passing: &Passing<'_>) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len() + 4);
     let named = connection_options(headers);
     for (name, value) in headers {
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -128,7 +128,7 @@
             holder: self.holder,
             last_event_id: self.last_event_id,
         };
-        let mut passed = headers::passed_on(&prepared.headers, &passing);
+        let mut passed = headers::upstream_request_headers(&prepared.headers, &passing);
         if let Some(size) = size_bytes {
             passed.insert(header::CONTENT_LENGTH, HeaderValue::from(size));
         }
