--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -270,7 +270,7 @@
 }
 
 /// Returns the headers of an answer as callers get them, without those of framing.
-pub fn answered(headers: &HeaderMap) -> HeaderMap {
+pub fn caller_response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut answered = HeaderMap::with_capacity(headers.len());
     let named = connection_options(headers);
     for (name, value) in headers {
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -113,7 +113,7 @@
         let facts = headers::parse_response_headers(head.status.as_u16(), &head.headers);
         connection.set_keep_alive(facts.keep_alive);
         let checked = check(&facts, head.status, &self.prepared.facts.id);
-        let headers = headers::answered(&head.headers);
+        let headers = headers::caller_response_headers(&head.headers);
         let answer = Answer { status: head.status, headers, facts, body, connection };
         Ok(checked.map(|()| answer))
     }
