--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -285,7 +285,7 @@
 }
 
 /// Returns the headers of an answer of the router's own to a request.
-pub fn own_answer(id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap {
+pub fn router_response_headers(id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Some(id) = id {
         insert(&mut headers, REQUEST_ID, id);
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -89,7 +89,7 @@
     let status = StatusCode::from_u16(refusal.http_status());
     let mut response = Response::new(body::whole(Bytes::new()));
     *response.status_mut() = status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    *response.headers_mut() = headers::own_answer(id, refusal.retry_after);
+    *response.headers_mut() = headers::router_response_headers(id, refusal.retry_after);
     response
 }
 
