--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -146,7 +146,7 @@
 
 /// What a router adds to a request that it passes on.
 #[derive(Clone, Debug)]
-pub struct Passing<'a> {
+pub struct AddedHeaders<'a> {
     /// Upstream that alone may run it.
     pub upstream: &'a str,
     /// Time that is left.
@@ -165,7 +165,7 @@
 const LAST_PRIORITY: u8 = 9;
 
 /// Returns the headers of a request as they are passed on, without those of framing.
-pub fn upstream_request_headers(headers: &HeaderMap, passing: &Passing<'_>) -> HeaderMap {
+pub fn upstream_request_headers(headers: &HeaderMap, passing: &AddedHeaders<'_>) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len() + 4);
     let named = connection_options(headers);
     for (name, value) in headers {
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -14,7 +14,7 @@
 use super::body::Outgoing;
 use super::request::Prepared;
 use super::upstream_connection::Connection;
-use crate::platform::headers::{self, Passing, ResponseMetadata};
+use crate::platform::headers::{self, AddedHeaders, ResponseMetadata};
 
 /// An answer whose head was checked: it belongs to the request.
 pub(super) struct Answer {
@@ -120,7 +120,7 @@
 
     fn request(&self, body: Outgoing, size_bytes: Option<u64>) -> Request<Outgoing> {
         let prepared = self.prepared;
-        let passing = Passing {
+        let passing = AddedHeaders {
             upstream: &self.upstream.id,
             remaining: prepared.deadline.remaining(self.shared.now()),
             workspace: prepared.workspace.as_ref().map(|workspace| &*workspace.name),
