--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -225,7 +225,7 @@
     /// The upstream did not run the request.
     pub is_not_run: bool,
     /// Another upstream has the address.
-    pub is_moved: bool,
+    pub is_misdirected: bool,
     /// The body is encoded, which no upstream does.
     pub is_encoded: bool,
     /// Load of the upstream.
@@ -241,12 +241,12 @@
 
 /// Reads the head of an upstream's answer.
 pub fn parse_response_headers(status: u16, headers: &HeaderMap) -> ResponseMetadata {
-    let is_moved = status == MISDIRECTED;
+    let is_misdirected = status == MISDIRECTED;
     ResponseMetadata {
         id: single(headers, &REQUEST_ID).map(Box::from),
         is_signed: headers.contains_key(&STAMP),
-        is_not_run: is_moved || headers.contains_key(&NOT_EXECUTED),
-        is_moved,
+        is_not_run: is_misdirected || headers.contains_key(&NOT_EXECUTED),
+        is_misdirected,
         is_encoded: headers.contains_key(header::CONTENT_ENCODING),
         load: single(headers, &LOAD).and_then(load),
         closes: connection_options(headers).iter().any(|option| option == "close"),
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -152,7 +152,7 @@
         return Err(Failure::Foreign);
     }
     if facts.is_not_run {
-        return Err(if facts.is_moved { Failure::Moved } else { Failure::Rejected });
+        return Err(if facts.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
     let is_unsigned = !facts.is_signed || facts.is_encoded;
     if is_unsigned && status.is_success() {
