--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -231,7 +231,7 @@
     /// Load of the upstream.
     pub load: Option<LoadReport>,
     /// The connection will be closed after the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Time for which the upstream keeps the connection open.
     pub keep_alive: Option<Duration>,
 }
@@ -249,7 +249,7 @@
         is_misdirected,
         is_encoded: headers.contains_key(header::CONTENT_ENCODING),
         load: single(headers, &LOAD).and_then(load),
-        closes: connection_options(headers).iter().any(|option| option == "close"),
+        closes_connection: connection_options(headers).iter().any(|option| option == "close"),
         keep_alive: single(headers, &KEEP_ALIVE).and_then(keep_alive),
     }
 }
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -201,7 +201,7 @@
             }
         }
         let Answer { status, headers, facts, connection, .. } = answer;
-        if !facts.closes {
+        if !facts.closes_connection {
             connection.release(self.shared.now());
         }
         let upstream = in_flight.upstream().clone();
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -44,7 +44,7 @@
     /// Takes an answer of which `first` was read already.
     pub(super) fn new(answer: Answer, in_flight: InFlight, first: Bytes) -> Self {
         let Answer { status, headers, facts, body, connection } = answer;
-        let source = Source { body, connection, closes: facts.closes, in_flight };
+        let source = Source { body, connection, closes: facts.closes_connection, in_flight };
         Self { status, headers, source, first }
     }
 
@@ -225,7 +225,8 @@
                 in_flight.report(load);
             }
             let Answer { facts, body, connection, .. } = answer;
-            self.source = Some(Source { body, connection, closes: facts.closes, in_flight });
+            self.source =
+                Some(Source { body, connection, closes: facts.closes_connection, in_flight });
             return Ok(());
         }
     }
--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -38,7 +38,7 @@
     let facts = parse_response_headers(200, &headers);
     assert_eq!(facts.load.map(|load| (load.running, load.waiting)), Some((3, 1)));
     assert_eq!(facts.keep_alive.map(|time| time.as_secs()), Some(4));
-    assert!(!facts.is_signed && !facts.is_not_run && !facts.closes);
+    assert!(!facts.is_signed && !facts.is_not_run && !facts.closes_connection);
     assert!(parse_response_headers(421, &HeaderMap::new()).is_not_run);
 }
 
