--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -64,7 +64,7 @@
     /// How long the caller waits.
     pub deadline: Option<Duration>,
     /// API key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Prompt, where it is described.
     pub prompt: Option<Prompt>,
 }
@@ -97,10 +97,10 @@
         (false, _) => None,
         (true, value) => Some(value.and_then(milliseconds).ok_or(HeadError::Deadline)?),
     };
-    let key = single(headers, &header::AUTHORIZATION)
+    let api_key = single(headers, &header::AUTHORIZATION)
         .and_then(|value| value.strip_prefix("Bearer "))
         .map(|key| key.trim().to_owned());
-    Ok(RequestMetadata { id: id.into(), deadline, key, prompt: prompt(headers) })
+    Ok(RequestMetadata { id: id.into(), deadline, api_key, prompt: prompt(headers) })
 }
 
 /// Returns the host that a request names.
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -53,7 +53,7 @@
     let host = headers::host(&head.headers, &head.uri).map_err(|_| RefusalReason::Malformed)?;
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
-    let workspace = match &facts.key {
+    let workspace = match &facts.api_key {
         _ if route.is_anonymous || !configuration.workspaces.is_required() => None,
         Some(key) => {
             let workspace = configuration.workspaces.find(key);
