--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,7 +10,7 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{Belief, Item, ItemChange, Snapshot, Subject, decode, subject};
+use crate::platform::{DecodedItem, Item, ItemChange, Snapshot, Subject, decode, subject};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -99,12 +99,14 @@
         let mut routers = Vec::new();
         for item in &snapshot.items {
             match self.decode(item) {
-                Ok(Belief::Configuration(configuration)) => {
+                Ok(DecodedItem::Configuration(configuration)) => {
                     self.on_configuration(*configuration, item.revision, source);
                 }
-                Ok(Belief::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
-                Ok(Belief::Router(name, address)) => routers.push((name, address)),
-                Ok(Belief::Other) => {}
+                Ok(DecodedItem::Upstream(upstream)) => {
+                    upstreams.push(ListEntry::Upstream(upstream))
+                }
+                Ok(DecodedItem::Router(name, address)) => routers.push((name, address)),
+                Ok(DecodedItem::Other) => {}
                 Err(Subject::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
                 Err(Subject::Router(_) | Subject::Configuration | Subject::Other) => {}
             }
@@ -158,14 +160,14 @@
 
     fn on_written(&self, item: &Item, source: Source) {
         match self.decode(item) {
-            Ok(Belief::Configuration(configuration)) => {
+            Ok(DecodedItem::Configuration(configuration)) => {
                 self.on_configuration(*configuration, item.revision, source);
             }
-            Ok(Belief::Upstream(upstream)) => {
+            Ok(DecodedItem::Upstream(upstream)) => {
                 let change = self.registry().put(upstream);
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
-            Ok(Belief::Router(name, address)) => {
+            Ok(DecodedItem::Router(name, address)) => {
                 let is_new = self.shared.fleet().membership.put(name.clone(), address);
                 if is_new {
                     let fields = [event::text("router", &name), event::text("address", &address)];
@@ -177,7 +179,7 @@
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
             Err(Subject::Router(name)) => self.on_router_lost(name),
-            Ok(Belief::Other) | Err(Subject::Configuration | Subject::Other) => {}
+            Ok(DecodedItem::Other) | Err(Subject::Configuration | Subject::Other) => {}
         }
     }
 
@@ -247,7 +249,7 @@
     }
 
     /// Decodes an item; where it cannot be understood, returns what its key is about.
-    fn decode<'a>(&self, item: &'a Item) -> Result<Belief, Subject<'a>> {
+    fn decode<'a>(&self, item: &'a Item) -> Result<DecodedItem, Subject<'a>> {
         decode(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
                 event::text("key", &item.key),
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -60,7 +60,7 @@
 
 /// What an item says.
 #[derive(Clone, Debug)]
-pub enum Belief {
+pub enum DecodedItem {
     /// The operator's configuration.
     Configuration(Box<Configuration>),
     /// An upstream.
@@ -72,18 +72,20 @@
 }
 
 /// Decodes an item.
-pub fn decode(item: &Item) -> Result<Belief, DecodeError> {
+pub fn decode(item: &Item) -> Result<DecodedItem, DecodeError> {
     let subject = subject(&item.key);
     if subject == Subject::Other {
-        return Ok(Belief::Other);
+        return Ok(DecodedItem::Other);
     }
     let Some(value) = &item.value else {
         return Err(DecodeError::new("value", "is no base64 text"));
     };
     Ok(match subject {
-        Subject::Configuration => Belief::Configuration(Box::new(configuration::decode(value)?)),
-        Subject::Upstream(id) => Belief::Upstream(upstream::decode(id, value)?),
-        Subject::Router(name) => Belief::Router(name.into(), registration::decode(value)?),
-        Subject::Other => Belief::Other,
+        Subject::Configuration => {
+            DecodedItem::Configuration(Box::new(configuration::decode(value)?))
+        }
+        Subject::Upstream(id) => DecodedItem::Upstream(upstream::decode(id, value)?),
+        Subject::Router(name) => DecodedItem::Router(name.into(), registration::decode(value)?),
+        Subject::Other => DecodedItem::Other,
     })
 }
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use teaselworks::beliefs::News;
 use teaselworks::peers::message::{self, Answer, Heard, Question};
-use teaselworks::platform::{Belief, Item, ItemChange, decode};
+use teaselworks::platform::{DecodedItem, Item, ItemChange, decode};
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
 
@@ -16,14 +16,14 @@
 
 fn configuration(value: &serde_json::Value) -> Configuration {
     match decode(&item("op/config", value.to_string().as_bytes())).unwrap() {
-        Belief::Configuration(configuration) => *configuration,
+        DecodedItem::Configuration(configuration) => *configuration,
         belief => panic!("{belief:?}"),
     }
 }
 
 fn upstream(value: &serde_json::Value) -> Upstream {
     match decode(&item("servers/i-7", value.to_string().as_bytes())).unwrap() {
-        Belief::Upstream(upstream) => upstream,
+        DecodedItem::Upstream(upstream) => upstream,
         belief => panic!("{belief:?}"),
     }
 }
@@ -176,7 +176,7 @@
         ]),
         value in any_json(),
     ) {
-        if let Ok(Belief::Upstream(upstream)) =
+        if let Ok(DecodedItem::Upstream(upstream)) =
             decode(&item("servers/i-7", with(field, value.clone()).to_string().as_bytes()))
         {
             prop_assert_eq!(&*upstream.id, "i-7");
