--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,7 +10,7 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{DecodedItem, Item, ItemChange, Snapshot, Subject, decode, subject};
+use crate::platform::{DecodedItem, Item, ItemChange, KeyKind, Snapshot, decode, subject};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -107,8 +107,8 @@
                 }
                 Ok(DecodedItem::Router(name, address)) => routers.push((name, address)),
                 Ok(DecodedItem::Other) => {}
-                Err(Subject::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
-                Err(Subject::Router(_) | Subject::Configuration | Subject::Other) => {}
+                Err(KeyKind::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
+                Err(KeyKind::Router(_) | KeyKind::Configuration | KeyKind::Other) => {}
             }
         }
         let changes = self.registry().replace(now, upstreams);
@@ -174,24 +174,24 @@
                     event::PEER_LISTED.log(&fields);
                 }
             }
-            Err(Subject::Upstream(id)) => {
+            Err(KeyKind::Upstream(id)) => {
                 let change = self.registry().suspend(id);
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
-            Err(Subject::Router(name)) => self.on_router_lost(name),
-            Ok(DecodedItem::Other) | Err(Subject::Configuration | Subject::Other) => {}
+            Err(KeyKind::Router(name)) => self.on_router_lost(name),
+            Ok(DecodedItem::Other) | Err(KeyKind::Configuration | KeyKind::Other) => {}
         }
     }
 
     fn on_deleted(&self, key: &str, revision: u64, source: Source) {
         let now = self.shared.now();
         match subject(key) {
-            Subject::Upstream(id) => {
+            KeyKind::Upstream(id) => {
                 let change = self.registry().remove(now, id);
                 self.on_upstreams(change.as_slice(), revision, source);
             }
-            Subject::Router(name) => self.on_router_lost(name),
-            Subject::Configuration | Subject::Other => {}
+            KeyKind::Router(name) => self.on_router_lost(name),
+            KeyKind::Configuration | KeyKind::Other => {}
         }
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Decodes an item; where it cannot be understood, returns what its key is about.
-    fn decode<'a>(&self, item: &'a Item) -> Result<DecodedItem, Subject<'a>> {
+    fn decode<'a>(&self, item: &'a Item) -> Result<DecodedItem, KeyKind<'a>> {
         decode(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
                 event::text("key", &item.key),
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -26,7 +26,7 @@
 
 /// What a key is about.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Subject<'a> {
+pub enum KeyKind<'a> {
     /// The operator's configuration.
     Configuration,
     /// The upstream of this identifier.
@@ -40,21 +40,21 @@
 /// Tells what a key is about.
 ///
 /// ```
-/// use teaselworks::platform::{Subject, subject};
+/// use teaselworks::platform::{KeyKind, subject};
 ///
-/// assert_eq!(subject("servers/i-7"), Subject::Upstream("i-7"));
-/// assert_eq!(subject("elsewhere"), Subject::Other);
+/// assert_eq!(subject("servers/i-7"), KeyKind::Upstream("i-7"));
+/// assert_eq!(subject("elsewhere"), KeyKind::Other);
 /// ```
-pub fn subject(key: &str) -> Subject<'_> {
+pub fn subject(key: &str) -> KeyKind<'_> {
     if key == CONFIGURATION {
-        return Subject::Configuration;
+        return KeyKind::Configuration;
     }
     if let Some(id) = key.strip_prefix(UPSTREAMS) {
-        return Subject::Upstream(id);
+        return KeyKind::Upstream(id);
     }
     match key.strip_prefix(registration::PREFIX) {
-        Some(name) => Subject::Router(name),
-        None => Subject::Other,
+        Some(name) => KeyKind::Router(name),
+        None => KeyKind::Other,
     }
 }
 
@@ -74,18 +74,18 @@
 /// Decodes an item.
 pub fn decode(item: &Item) -> Result<DecodedItem, DecodeError> {
     let subject = subject(&item.key);
-    if subject == Subject::Other {
+    if subject == KeyKind::Other {
         return Ok(DecodedItem::Other);
     }
     let Some(value) = &item.value else {
         return Err(DecodeError::new("value", "is no base64 text"));
     };
     Ok(match subject {
-        Subject::Configuration => {
+        KeyKind::Configuration => {
             DecodedItem::Configuration(Box::new(configuration::decode(value)?))
         }
-        Subject::Upstream(id) => DecodedItem::Upstream(upstream::decode(id, value)?),
-        Subject::Router(name) => DecodedItem::Router(name.into(), registration::decode(value)?),
-        Subject::Other => DecodedItem::Other,
+        KeyKind::Upstream(id) => DecodedItem::Upstream(upstream::decode(id, value)?),
+        KeyKind::Router(name) => DecodedItem::Router(name.into(), registration::decode(value)?),
+        KeyKind::Other => DecodedItem::Other,
     })
 }
