--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,7 +10,7 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{DecodedItem, Item, ItemChange, KeyKind, Snapshot, decode, subject};
+use crate::platform::{DecodedItem, Item, ItemChange, KeyKind, Snapshot, classify_key, decode};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -185,7 +185,7 @@
 
     fn on_deleted(&self, key: &str, revision: u64, source: Source) {
         let now = self.shared.now();
-        match subject(key) {
+        match classify_key(key) {
             KeyKind::Upstream(id) => {
                 let change = self.registry().remove(now, id);
                 self.on_upstreams(change.as_slice(), revision, source);
@@ -256,7 +256,7 @@
                 event::number("revision", item.revision),
                 event::text("cause", &error),
             ]);
-            subject(&item.key)
+            classify_key(&item.key)
         })
     }
 
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -40,12 +40,12 @@
 /// Tells what a key is about.
 ///
 /// ```
-/// use teaselworks::platform::{KeyKind, subject};
+/// use teaselworks::platform::{KeyKind, classify_key};
 ///
-/// assert_eq!(subject("servers/i-7"), KeyKind::Upstream("i-7"));
-/// assert_eq!(subject("elsewhere"), KeyKind::Other);
+/// assert_eq!(classify_key("servers/i-7"), KeyKind::Upstream("i-7"));
+/// assert_eq!(classify_key("elsewhere"), KeyKind::Other);
 /// ```
-pub fn subject(key: &str) -> KeyKind<'_> {
+pub fn classify_key(key: &str) -> KeyKind<'_> {
     if key == CONFIGURATION {
         return KeyKind::Configuration;
     }
@@ -73,7 +73,7 @@
 
 /// Decodes an item.
 pub fn decode(item: &Item) -> Result<DecodedItem, DecodeError> {
-    let subject = subject(&item.key);
+    let subject = classify_key(&item.key);
     if subject == KeyKind::Other {
         return Ok(DecodedItem::Other);
     }
