--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,7 +10,9 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{DecodedItem, Item, ItemChange, KeyKind, Snapshot, classify_key, decode};
+use crate::platform::{
+    DecodedItem, Item, ItemChange, KeyKind, Snapshot, classify_key, decode_item,
+};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -250,7 +252,7 @@
 
     /// Decodes an item; where it cannot be understood, returns what its key is about.
     fn decode<'a>(&self, item: &'a Item) -> Result<DecodedItem, KeyKind<'a>> {
-        decode(item).map_err(|error| {
+        decode_item(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
                 event::text("key", &item.key),
                 event::number("revision", item.revision),
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -72,7 +72,7 @@
 }
 
 /// Decodes an item.
-pub fn decode(item: &Item) -> Result<DecodedItem, DecodeError> {
+pub fn decode_item(item: &Item) -> Result<DecodedItem, DecodeError> {
     let subject = classify_key(&item.key);
     if subject == KeyKind::Other {
         return Ok(DecodedItem::Other);
--- a/teaselworks/src/platform/mod.rs
+++ b/teaselworks/src/platform/mod.rs
@@ -12,7 +12,7 @@
 mod wire;
 
 pub use self::error::{DecodeError, StoreError};
-pub use self::item::{DecodedItem, Item, KeyKind, classify_key, decode};
+pub use self::item::{DecodedItem, Item, KeyKind, classify_key, decode_item};
 pub use self::registration::{registration, registration_key};
 pub use self::store::{ItemChange, Lease, Snapshot, Store, Watched};
 
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use teaselworks::beliefs::News;
 use teaselworks::peers::message::{self, Answer, Heard, Question};
-use teaselworks::platform::{DecodedItem, Item, ItemChange, decode};
+use teaselworks::platform::{DecodedItem, Item, ItemChange, decode_item};
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
 
@@ -15,14 +15,14 @@
 }
 
 fn configuration(value: &serde_json::Value) -> Configuration {
-    match decode(&item("op/config", value.to_string().as_bytes())).unwrap() {
+    match decode_item(&item("op/config", value.to_string().as_bytes())).unwrap() {
         DecodedItem::Configuration(configuration) => *configuration,
         belief => panic!("{belief:?}"),
     }
 }
 
 fn upstream(value: &serde_json::Value) -> Upstream {
-    match decode(&item("servers/i-7", value.to_string().as_bytes())).unwrap() {
+    match decode_item(&item("servers/i-7", value.to_string().as_bytes())).unwrap() {
         DecodedItem::Upstream(upstream) => upstream,
         belief => panic!("{belief:?}"),
     }
@@ -79,7 +79,7 @@
 }
 
 fn names_a_replica(value: &Value) -> bool {
-    decode(&item("servers/i-7", value.to_string().as_bytes())).is_ok()
+    decode_item(&item("servers/i-7", value.to_string().as_bytes())).is_ok()
 }
 
 #[test]
@@ -122,7 +122,7 @@
 #[test]
 fn a_fault_is_told_in_a_short_line() {
     let long = with("state", json!("x".repeat(100_000)));
-    let error = decode(&item("servers/i-7", long.to_string().as_bytes())).unwrap_err();
+    let error = decode_item(&item("servers/i-7", long.to_string().as_bytes())).unwrap_err();
     assert!(error.to_string().len() < 400);
 }
 
@@ -177,12 +177,12 @@
         value in any_json(),
     ) {
         if let Ok(DecodedItem::Upstream(upstream)) =
-            decode(&item("servers/i-7", with(field, value.clone()).to_string().as_bytes()))
+            decode_item(&item("servers/i-7", with(field, value.clone()).to_string().as_bytes()))
         {
             prop_assert_eq!(&*upstream.id, "i-7");
         }
         let configuration = json!({ "version": 1, field: value });
-        let _ = decode(&item("op/config", configuration.to_string().as_bytes()));
+        let _ = decode_item(&item("op/config", configuration.to_string().as_bytes()));
     }
 
     /// Guards against a router that ends on a value that somebody wrote.
@@ -191,7 +191,7 @@
         key in prop::sample::select(vec!["op/config", "servers/i-1", "routers/a", "else"]),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        let _ = decode(&item(key, &bytes));
+        let _ = decode_item(&item(key, &bytes));
     }
 
     #[test]
@@ -209,8 +209,8 @@
             }],
             "tenants": [{ "name": text, "api_keys": [text], "priority": priority }]
         });
-        let _ = decode(&item("op/config", value.to_string().as_bytes()));
+        let _ = decode_item(&item("op/config", value.to_string().as_bytes()));
         let upstream = json!({ "service": text, "address": text, "zone": text, "slots": version, "state": text });
-        let _ = decode(&item("servers/i-1", upstream.to_string().as_bytes()));
+        let _ = decode_item(&item("servers/i-1", upstream.to_string().as_bytes()));
     }
 }
