--- a/teaselworks/src/beliefs/follow.rs
+++ b/teaselworks/src/beliefs/follow.rs
@@ -9,7 +9,7 @@
 use crate::metrics::{Metrics, StoreOutcome};
 use crate::peers::message::Heard;
 use crate::peers::{Peer, Question};
-use crate::platform::{Store, StoreError, Watched};
+use crate::platform::{Store, StoreError, WatchResult};
 
 /// Part of the bound on the age of news for which one look waits for changes. A look that hears
 /// nothing since the other end is cut off, and one at the store after it, both end within the bound.
@@ -107,7 +107,7 @@
         let wait = if is_lost { Duration::ZERO } else { self.news_age.mul_f64(WAIT_SHARE) };
         let after = self.learner.revision();
         match self.store.watch(after, wait).await? {
-            Watched::Changes(changes) => {
+            WatchResult::Changes(changes) => {
                 self.on_answer();
                 self.learner.on_changes(&changes, Source::Store);
                 if !changes.is_empty() {
@@ -115,7 +115,7 @@
                 }
                 Ok(true)
             }
-            Watched::Compacted => {
+            WatchResult::Compacted => {
                 self.on_answer();
                 event::HISTORY_LOST.log(&[event::number("after", after)]);
                 Ok(false)
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -46,7 +46,7 @@
 
 /// What a watch brought.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes in order, none where nothing changed.
     Changes(Vec<ItemChange>),
     /// The store no longer knows what changed since then: everything must be read again.
@@ -176,16 +176,16 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn watch(&mut self, after: u64, wait: Duration) -> Result<Watched, StoreError> {
+    pub async fn watch(&mut self, after: u64, wait: Duration) -> Result<WatchResult, StoreError> {
         let path = format!("/kv-watch?prefix=&after={after}&wait_ms={}", wait.as_millis());
         let (status, body) = self.call(Method::GET, &path, None, wait + WATCH_SLACK).await?;
         match status {
             StatusCode::OK => {}
-            StatusCode::GONE => return Ok(Watched::Compacted),
+            StatusCode::GONE => return Ok(WatchResult::Compacted),
             _ => return Err(StoreError::Status(status.as_u16())),
         }
         let watch: WireWatch = read(&body)?;
-        Ok(Watched::Changes(watch.events.into_iter().map(WireItem::change).collect()))
+        Ok(WatchResult::Changes(watch.events.into_iter().map(WireItem::change).collect()))
     }
 
     /// Takes a lease.
