--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -5,7 +5,7 @@
 
 use crate::event;
 use crate::kernel::{Shutdown, ShutdownPhase};
-use crate::platform::{Lease, Store, StoreError, registration, registration_key};
+use crate::platform::{Lease, Store, StoreError, registration_key, registration_value};
 
 /// Time for which the registration outlasts its router. Others count a router that was killed for
 /// that long, which only makes their parts of the retry budget smaller.
@@ -67,7 +67,7 @@
             *lease = None;
         }
         let taken = self.store.lease(self.lease_time).await?;
-        let value = registration(self.peers);
+        let value = registration_value(self.peers);
         if self.store.put(&self.key, &value, taken).await? {
             *lease = Some(taken);
             event::REGISTERED.log(&[
--- a/teaselworks/src/platform/registration.rs
+++ b/teaselworks/src/platform/registration.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the value of a router that can be asked at `peers`.
-pub fn registration(peers: SocketAddr) -> Bytes {
+pub fn registration_value(peers: SocketAddr) -> Bytes {
     let mut value = Vec::new();
     // Writing to memory does not fail; an empty value would be refused by its readers.
     let _ = ciborium::into_writer(&Registration { peers }, &mut value);
