--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -66,7 +66,7 @@
             }
             *lease = None;
         }
-        let taken = self.store.lease(self.lease_time).await?;
+        let taken = self.store.grant_lease(self.lease_time).await?;
         let value = registration_value(self.peers);
         if self.store.put(&self.key, &value, taken).await? {
             *lease = Some(taken);
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -189,7 +189,7 @@
     }
 
     /// Takes a lease.
-    pub async fn lease(&mut self, ttl: Duration) -> Result<Lease, StoreError> {
+    pub async fn grant_lease(&mut self, ttl: Duration) -> Result<Lease, StoreError> {
         let body = json!({ "ttl_ms": ttl.as_millis() as u64 });
         let body = self.post("/kv-lease", &body).await?;
         let lease: WireLease = read(&body)?;
