--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -61,7 +61,7 @@
 
     async fn step(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
         if let Some(held) = *lease {
-            if self.store.renew(held).await? {
+            if self.store.renew_lease(held).await? {
                 return Ok(());
             }
             *lease = None;
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -197,7 +197,7 @@
     }
 
     /// Renews a lease; false where it has ended.
-    pub async fn renew(&mut self, lease: Lease) -> Result<bool, StoreError> {
+    pub async fn renew_lease(&mut self, lease: Lease) -> Result<bool, StoreError> {
         let path = format!("/kv-keep/{}", lease.id);
         match self.post(&path, &json!({})).await {
             Ok(_) => Ok(true),
