--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -55,7 +55,7 @@
         }
         if let Some(lease) = lease {
             // It ends by itself otherwise.
-            let _ = self.store.end(lease).await;
+            let _ = self.store.revoke_lease(lease).await;
         }
     }
 
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -207,7 +207,7 @@
     }
 
     /// Ends a lease and removes its keys.
-    pub async fn end(&mut self, lease: Lease) -> Result<(), StoreError> {
+    pub async fn revoke_lease(&mut self, lease: Lease) -> Result<(), StoreError> {
         let path = format!("/kv-lease-end/{}", lease.id);
         let (status, _) = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await?;
         if status.is_success() || status == StatusCode::NOT_FOUND {
