--- a/teaselworks/src/platform/configuration.rs
+++ b/teaselworks/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Decodes the operator's configuration.
+//! Decodes the operator's configuration from the JSON in the platform's store.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 
 #[derive(Deserialize)]
 struct WireConfiguration {
-    #[serde(deserialize_with = "wire::whole")]
+    #[serde(deserialize_with = "wire::saturating_u64")]
     version: u64,
     #[serde(default)]
     routes: Vec<WireRoute>,
     #[serde(default)]
     services: Vec<WireService>,
     limits: Option<WireLimits>,
-    /// Workspaces.
+    /// Workspaces, which the platform calls tenants.
     #[serde(default)]
     tenants: Vec<WireTenant>,
 }
@@ -31,38 +31,39 @@
     host: Arc<str>,
     prefix: Arc<str>,
     kind: String,
-    #[serde(deserialize_with = "wire::milliseconds")]
+    #[serde(deserialize_with = "wire::duration_ms")]
     timeout_ms: Duration,
-    #[serde(default, deserialize_with = "wire::milliseconds")]
+    #[serde(default, deserialize_with = "wire::duration_ms")]
     target_latency_ms: Duration,
-    #[serde(default, deserialize_with = "wire::milliseconds")]
+    #[serde(default, deserialize_with = "wire::duration_ms")]
     target_gap_ms: Duration,
-    /// Rank, where 0 goes first: a larger number is less urgent.
-    #[serde(default, deserialize_with = "wire::small")]
+    /// Priority; 0 is the most urgent, a larger number is less urgent.
+    #[serde(default, deserialize_with = "wire::saturating_u32")]
     priority: u32,
     service: Option<Arc<str>>,
     #[serde(default)]
     traffic_split: Vec<WireTarget>,
-    /// Replicas on which a request may run; offers that were turned away do not count.
-    #[serde(default = "one", deserialize_with = "wire::small")]
+    /// Number of replicas on which a request may run. Attempts that a replica rejected without
+    /// running the request do not count.
+    #[serde(default = "default_max_attempts", deserialize_with = "wire::saturating_u32")]
     max_attempts: u32,
     #[serde(default)]
     anonymous: bool,
-    /// Says that requests describe their prompts, not that connections stay with a replica.
+    /// Whether requests describe their prompts; it does not keep a connection on one replica.
     #[serde(default)]
     sticky: bool,
     #[serde(default)]
     resumable: bool,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
 #[derive(Deserialize)]
 struct WireTarget {
     service: Arc<str>,
-    #[serde(deserialize_with = "wire::small")]
+    #[serde(deserialize_with = "wire::saturating_u32")]
     weight: u32,
 }
 
@@ -74,20 +75,20 @@
 
 #[derive(Deserialize)]
 struct WireEngine {
-    /// Engines copy memory from each other.
+    /// Whether engines copy cached parts of prompts from each other.
     #[serde(default)]
     moves: bool,
 }
 
 #[derive(Deserialize)]
 struct WireLimits {
-    #[serde(deserialize_with = "wire::whole")]
+    #[serde(deserialize_with = "wire::saturating_u64")]
     max_header_bytes: u64,
-    #[serde(deserialize_with = "wire::whole")]
+    #[serde(deserialize_with = "wire::saturating_u64")]
     max_body_bytes: u64,
-    #[serde(deserialize_with = "wire::milliseconds")]
+    #[serde(deserialize_with = "wire::duration_ms")]
     header_timeout_ms: Duration,
-    #[serde(deserialize_with = "wire::milliseconds")]
+    #[serde(deserialize_with = "wire::duration_ms")]
     idle_timeout_ms: Duration,
 }
 
@@ -96,13 +97,13 @@
     name: Arc<str>,
     #[serde(default)]
     api_keys: Vec<Box<str>>,
-    /// Rank in place of the route's.
+    /// Priority that replaces the route's.
     priority: Option<f64>,
 }
 
-/// Decodes a configuration.
+/// Decodes the JSON value of a configuration.
 pub(super) fn decode(value: &[u8]) -> Result<Configuration, DecodeError> {
-    let wire: WireConfiguration = wire::read(value)?;
+    let wire: WireConfiguration = wire::from_json(value)?;
     let mut services = HashMap::new();
     for service in wire.services {
         services.insert(service.name.clone(), service.into());
@@ -111,7 +112,7 @@
         version: wire.version,
         routes: Routes::new(wire.routes.into_iter().map(Route::from)),
         services,
-        workspaces: Workspaces::new(wire.tenants.into_iter().map(workspace)),
+        workspaces: Workspaces::new(wire.tenants.into_iter().map(workspace_and_keys)),
         limits: wire.limits.map(RequestLimits::from).unwrap_or_default(),
     })
 }
@@ -128,11 +129,11 @@
             name: wire.name,
             host: wire.host,
             prefix: wire.prefix,
-            kind: kind(&wire.kind),
+            kind: parse_kind(&wire.kind),
             timeout: wire.timeout_ms,
             target_latency: wire.target_latency_ms,
             target_gap: wire.target_gap_ms,
-            priority: rank(f64::from(wire.priority)),
+            priority: priority_level(f64::from(wire.priority)),
             targets,
             max_attempts: wire.max_attempts.max(1),
             is_anonymous: wire.anonymous,
@@ -142,8 +143,9 @@
     }
 }
 
-/// Decodes what a route carries; an unknown kind is carried under the strictest promise.
-fn kind(name: &str) -> Kind {
+/// Decodes the kind of a route's requests. An unknown kind gets the strictest guarantee: a request
+/// runs at most once.
+fn parse_kind(name: &str) -> Kind {
     match name {
         "safe" => Kind::Idempotent,
         "streaming" => Kind::Stream,
@@ -151,8 +153,9 @@
     }
 }
 
-fn rank(priority: f64) -> u8 {
-    // A cast from a float saturates.
+/// Converts a priority; a number outside the range of `u8` becomes the nearest value in it.
+fn priority_level(priority: f64) -> u8 {
+    // Casting a float to an integer saturates.
     priority as u8
 }
 
@@ -173,6 +176,7 @@
     }
 }
 
-fn workspace(wire: WireTenant) -> (Workspace, Vec<Box<str>>) {
-    (Workspace { name: wire.name, priority: wire.priority.map(rank) }, wire.api_keys)
+/// Returns a workspace and its API keys.
+fn workspace_and_keys(wire: WireTenant) -> (Workspace, Vec<Box<str>>) {
+    (Workspace { name: wire.name, priority: wire.priority.map(priority_level) }, wire.api_keys)
 }
--- a/teaselworks/src/platform/error.rs
+++ b/teaselworks/src/platform/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with the platform's store and what it holds.
+//! Errors of calls to the platform's store, and of decoding the values that it holds.
 
 use std::fmt;
 
@@ -7,53 +7,53 @@
 pub enum StoreError {
     /// No connection could be opened.
     Connect(std::io::ErrorKind),
-    /// The connection broke, or what arrived was no answer.
+    /// The connection failed, or the store sent something other than an HTTP response.
     Broken,
-    /// No answer came in time.
+    /// No response, or no further part of one, arrived before the timeout.
     Timeout,
-    /// The store answered with this status, which is none of those that the call expects.
+    /// The store responded with this HTTP status, which the call does not expect.
     Status(u16),
-    /// The answer was not understood.
+    /// The request could not be built or the response could not be decoded.
     Malformed(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Connect(kind) => write!(f, "cannot connect: {kind}"),
-            StoreError::Broken => f.write_str("the connection broke"),
-            StoreError::Timeout => f.write_str("no answer in time"),
-            StoreError::Status(status) => write!(f, "status {status}"),
-            StoreError::Malformed(problem) => write!(f, "answer not understood: {problem}"),
+            StoreError::Connect(kind) => write!(f, "cannot connect to the store: {kind}"),
+            StoreError::Broken => f.write_str("connection failed or response is not HTTP"),
+            StoreError::Timeout => f.write_str("no response before the timeout"),
+            StoreError::Status(status) => write!(f, "unexpected HTTP status {status}"),
+            StoreError::Malformed(problem) => write!(f, "malformed request or response: {problem}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// Why a value in the store could not be understood.
+/// Why a value in the store could not be decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DecodeError {
-    /// Field at fault, where known.
+    /// Path of the invalid field, where known.
     pub field: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
 }
 
-/// Longest description of a problem: it may quote what somebody else wrote.
-const PROBLEM_CHARS_MAX: usize = 160;
+/// Maximum length of [`DecodeError::problem`], which may quote a value that another program wrote.
+const MAX_PROBLEM_CHARS: usize = 160;
 
 impl DecodeError {
-    /// Makes an error; a long description is cut.
+    /// Creates an error; a `problem` longer than 160 characters is truncated.
     ///
     /// ```
     /// use teaselworks::platform::DecodeError;
     ///
-    /// let error = DecodeError::new("slots", "is no number");
-    /// assert_eq!(error.to_string(), "slots: is no number");
+    /// let error = DecodeError::new("slots", "is not a number");
+    /// assert_eq!(error.to_string(), "slots: is not a number");
     /// ```
     pub fn new(field: impl Into<String>, problem: impl fmt::Display) -> Self {
-        let problem = problem.to_string().chars().take(PROBLEM_CHARS_MAX).collect();
+        let problem = problem.to_string().chars().take(MAX_PROBLEM_CHARS).collect();
         Self { field: field.into(), problem }
     }
 }
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -1,4 +1,4 @@
-//! What a key of the store is about, and what its value says.
+//! Items of the platform's store: the kinds of keys, and how each kind's value is decoded.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,34 +10,36 @@
 
 use super::{DecodeError, configuration, registration, upstream};
 
-const CONFIGURATION: &str = "op/config";
-const UPSTREAMS: &str = "servers/";
+/// Key of the operator's configuration.
+const CONFIGURATION_KEY: &str = "op/config";
+/// Prefix of the keys of upstreams.
+const UPSTREAM_KEY_PREFIX: &str = "servers/";
 
-/// A key with its value.
+/// A key of the store with its value.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// Key.
     pub key: Arc<str>,
-    /// Value; `None` where it is no base64 text.
+    /// Value after base64 decoding; `None` if the store holds something other than base64 text.
     pub value: Option<Bytes>,
-    /// Revision of the store at which it was written.
+    /// Revision of the store at which the key was last written.
     pub revision: u64,
 }
 
-/// What a key is about.
+/// Kind of entry that a key of the store names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyKind<'a> {
     /// The operator's configuration.
     Configuration,
-    /// The upstream of this identifier.
+    /// The upstream with this identifier.
     Upstream(&'a str),
-    /// The router of this name.
+    /// The router with this name.
     Router(&'a str),
-    /// Nothing that a router needs.
+    /// A key that routers do not use.
     Other,
 }
 
-/// Tells what a key is about.
+/// Returns the kind of entry that a key names.
 ///
 /// ```
 /// use teaselworks::platform::{KeyKind, classify_key};
@@ -46,41 +48,44 @@
 /// assert_eq!(classify_key("elsewhere"), KeyKind::Other);
 /// ```
 pub fn classify_key(key: &str) -> KeyKind<'_> {
-    if key == CONFIGURATION {
+    if key == CONFIGURATION_KEY {
         return KeyKind::Configuration;
     }
-    if let Some(id) = key.strip_prefix(UPSTREAMS) {
+    if let Some(id) = key.strip_prefix(UPSTREAM_KEY_PREFIX) {
         return KeyKind::Upstream(id);
     }
-    match key.strip_prefix(registration::PREFIX) {
+    match key.strip_prefix(registration::KEY_PREFIX) {
         Some(name) => KeyKind::Router(name),
         None => KeyKind::Other,
     }
 }
 
-/// What an item says.
+/// Decoded value of an item.
 #[derive(Clone, Debug)]
 pub enum DecodedItem {
     /// The operator's configuration.
     Configuration(Box<Configuration>),
     /// An upstream.
     Upstream(Upstream),
-    /// Where a router can be asked.
+    /// Name of a router, and the address at which other routers reach it.
     Router(Arc<str>, SocketAddr),
-    /// Nothing that a router needs.
+    /// The value of a key that routers do not use.
     Other,
 }
 
-/// Decodes an item.
+/// Decodes the value of an item according to the kind of its key.
+///
+/// Fails if the value of a configuration, an upstream or a router cannot be decoded; values of
+/// other keys are ignored.
 pub fn decode_item(item: &Item) -> Result<DecodedItem, DecodeError> {
-    let subject = classify_key(&item.key);
-    if subject == KeyKind::Other {
+    let key_kind = classify_key(&item.key);
+    if key_kind == KeyKind::Other {
         return Ok(DecodedItem::Other);
     }
     let Some(value) = &item.value else {
-        return Err(DecodeError::new("value", "is no base64 text"));
+        return Err(DecodeError::new("value", "is not base64 text"));
     };
-    Ok(match subject {
+    Ok(match key_kind {
         KeyKind::Configuration => {
             DecodedItem::Configuration(Box::new(configuration::decode(value)?))
         }
--- a/teaselworks/src/platform/mod.rs
+++ b/teaselworks/src/platform/mod.rs
@@ -1,6 +1,7 @@
-//! The users' platform: the one place that knows its names, formats and calls.
+//! Adapter to the users' platform: its store, its HTTP headers and its data formats.
 //!
-//! Everything is decoded once into the product's types; nothing here decides anything.
+//! This is the only module that knows the platform's names, formats and calls. Each value is decoded
+//! once into the router's own types; routing decisions are made in other modules.
 
 mod configuration;
 mod error;
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's store.
+//! Client of the platform's key-value store: reads, watches, leases and writes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,55 +20,56 @@
 use super::{Item, StoreError};
 use crate::net;
 
-/// Longest wait for an answer to a call, and for more of one that has begun; one that is given up is
-/// only made again, so a slow store is waited for, and a small link that carries a large answer.
+/// Longest wait for the head of a response, and for each further part of its body. A call that times
+/// out is only repeated, so the timeout leaves time for a slow store, and for a large response over a
+/// slow link.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time beyond the agreed wait after which a watch counts as dead.
-const WATCH_SLACK: Duration = Duration::from_millis(500);
+/// Time beyond the requested wait after which a watch call times out.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// A lease, with which keys vanish when it is not renewed.
+/// A lease of the store: keys written under it are deleted when it is not renewed in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Lease {
     /// Identifier.
     pub id: u64,
-    /// Time for which it runs from each renewal.
+    /// Time from each renewal until the lease expires.
     pub ttl: Duration,
 }
 
-/// All items, as of a revision or later.
+/// All items of the store, each as of `revision` or later.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Revision of the store when the reading began: watches continue from here.
+    /// Revision of the store when the read began; a watch continues from here.
     pub revision: u64,
     /// Every item.
     pub items: Vec<Item>,
 }
 
-/// What a watch brought.
+/// Result of a watch call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchResult {
-    /// Changes in order, none where nothing changed.
+    /// Changes in order; empty if nothing changed.
     Changes(Vec<ItemChange>),
-    /// The store no longer knows what changed since then: everything must be read again.
+    /// The store no longer holds the changes since the given revision: all items must be read again.
     Compacted,
 }
 
-/// A change of one key.
+/// A change to one key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ItemChange {
-    /// It was written.
+    /// The key was written.
     Written(Item),
-    /// It was deleted at this revision.
+    /// The key was deleted.
     Deleted {
         /// Key.
         key: Arc<str>,
-        /// Revision of the store.
+        /// Revision of the store that the deletion made.
         revision: u64,
     },
 }
 
 impl ItemChange {
-    /// Returns the item that was written, where it was not deleted.
+    /// Returns the item that was written, or `None` for a deletion.
     pub fn item(&self) -> Option<&Item> {
         match self {
             ItemChange::Written(item) => Some(item),
@@ -90,13 +91,13 @@
     key: Arc<str>,
     #[serde(default)]
     value: Option<WireValue>,
-    #[serde(deserialize_with = "wire::whole")]
+    #[serde(deserialize_with = "wire::saturating_u64")]
     revision: u64,
     #[serde(default)]
     deleted: bool,
 }
 
-/// A value as the store hands it on, whoever wrote it.
+/// Value as the store returns it; other programs may have written something other than text.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum WireValue {
@@ -109,8 +110,8 @@
     items: Vec<WireItem>,
     #[serde(default)]
     has_more: bool,
-    /// Revision of the whole store, not of the items.
-    #[serde(deserialize_with = "wire::whole")]
+    /// Revision of the whole store, not of the returned items.
+    #[serde(deserialize_with = "wire::saturating_u64")]
     at: u64,
 }
 
@@ -121,9 +122,9 @@
 
 #[derive(Deserialize)]
 struct WireLease {
-    #[serde(deserialize_with = "wire::whole")]
+    #[serde(deserialize_with = "wire::saturating_u64")]
     lease: u64,
-    #[serde(deserialize_with = "wire::milliseconds")]
+    #[serde(deserialize_with = "wire::duration_ms")]
     ttl_ms: Duration,
 }
 
@@ -134,7 +135,8 @@
     lease: u64,
 }
 
-/// One connection to the store, which is opened when it is needed and after it broke.
+/// Client with one connection to the store, which is opened when a call needs it and reopened after
+/// a failure.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -142,12 +144,12 @@
 }
 
 impl Store {
-    /// Makes a client; nothing is opened yet.
+    /// Creates a client for the store at `address`; the first call opens the connection.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, sender: None }
     }
 
-    /// Reads everything.
+    /// Reads all items of the store.
     pub async fn snapshot(&mut self) -> Result<Snapshot, StoreError> {
         let mut snapshot: Option<Snapshot> = None;
         let mut after = String::new();
@@ -155,19 +157,20 @@
             let mut path = "/kv-range?prefix=".to_owned();
             if !after.is_empty() {
                 path.push_str("&after=");
-                path.push_str(&encode(&after));
+                path.push_str(&percent_encode(&after));
             }
             let (status, body) = self.call(Method::GET, &path, None, CALL_TIMEOUT).await?;
             if status != StatusCode::OK {
                 return Err(StoreError::Status(status.as_u16()));
             }
-            let range: WireRange = read(&body)?;
-            // Pages are read one after the other: what changes meanwhile is seen by a watch from
-            // the first page's revision on.
-            let whole = snapshot.get_or_insert(Snapshot { revision: range.at, items: Vec::new() });
+            let range: WireRange = decode_body(&body)?;
+            // Pages are read one after the other. A watch that starts at the revision of the first
+            // page sees what changes between them.
+            let snapshot_so_far =
+                snapshot.get_or_insert(Snapshot { revision: range.at, items: Vec::new() });
             for item in range.items {
                 after = item.key.to_string();
-                whole.items.push(item.read());
+                snapshot_so_far.items.push(item.into_item());
             }
             if !range.has_more {
                 return Ok(snapshot.unwrap_or_default());
@@ -175,28 +178,29 @@
         }
     }
 
-    /// Waits for changes after a revision.
+    /// Returns the changes after the revision `after`; waits up to `wait` for the first one.
     pub async fn watch(&mut self, after: u64, wait: Duration) -> Result<WatchResult, StoreError> {
         let path = format!("/kv-watch?prefix=&after={after}&wait_ms={}", wait.as_millis());
-        let (status, body) = self.call(Method::GET, &path, None, wait + WATCH_SLACK).await?;
+        let (status, body) =
+            self.call(Method::GET, &path, None, wait + WATCH_TIMEOUT_MARGIN).await?;
         match status {
             StatusCode::OK => {}
             StatusCode::GONE => return Ok(WatchResult::Compacted),
             _ => return Err(StoreError::Status(status.as_u16())),
         }
-        let watch: WireWatch = read(&body)?;
-        Ok(WatchResult::Changes(watch.events.into_iter().map(WireItem::change).collect()))
+        let watch: WireWatch = decode_body(&body)?;
+        Ok(WatchResult::Changes(watch.events.into_iter().map(WireItem::into_change).collect()))
     }
 
-    /// Takes a lease.
+    /// Creates a lease for `ttl`; the returned lease holds the time that the store granted.
     pub async fn grant_lease(&mut self, ttl: Duration) -> Result<Lease, StoreError> {
         let body = json!({ "ttl_ms": ttl.as_millis() as u64 });
         let body = self.post("/kv-lease", &body).await?;
-        let lease: WireLease = read(&body)?;
+        let lease: WireLease = decode_body(&body)?;
         Ok(Lease { id: lease.lease, ttl: lease.ttl_ms })
     }
 
-    /// Renews a lease; false where it has ended.
+    /// Renews a lease; returns `false` if it no longer exists.
     pub async fn renew_lease(&mut self, lease: Lease) -> Result<bool, StoreError> {
         let path = format!("/kv-keep/{}", lease.id);
         match self.post(&path, &json!({})).await {
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Ends a lease and removes its keys.
+    /// Ends a lease, which deletes its keys; a lease that no longer exists is no error.
     pub async fn revoke_lease(&mut self, lease: Lease) -> Result<(), StoreError> {
         let path = format!("/kv-lease-end/{}", lease.id);
         let (status, _) = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await?;
@@ -216,7 +220,7 @@
         Err(StoreError::Status(status.as_u16()))
     }
 
-    /// Writes a key under a lease; false where the lease has ended.
+    /// Writes a key under a lease; returns `false` if the lease no longer exists.
     pub async fn put(&mut self, key: &str, value: &[u8], lease: Lease) -> Result<bool, StoreError> {
         let put = WirePut { key, value: STANDARD.encode(value), lease: lease.id };
         let body = json!({ "expect": [], "puts": [put], "remove": [] });
@@ -236,8 +240,8 @@
         Err(StoreError::Status(status.as_u16()))
     }
 
-    /// Makes one call. After any failure the connection is not used again: the answer may still
-    /// come, and would be taken for that to the next call.
+    /// Makes one call. After a failure the connection is not reused: a late response would be taken
+    /// for the response to the next call.
     async fn call(
         &mut self,
         method: Method,
@@ -245,16 +249,18 @@
         body: Option<Bytes>,
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), StoreError> {
-        let sent = self.exchange(method, path, body);
-        let sent = tokio::time::timeout(timeout, sent).await.unwrap_or(Err(StoreError::Timeout));
-        let (sender, answer) = sent?;
-        let status = answer.status();
-        let body = read_body(answer.into_body()).await?;
+        let response = self.send(method, path, body);
+        let response =
+            tokio::time::timeout(timeout, response).await.unwrap_or(Err(StoreError::Timeout));
+        let (sender, response) = response?;
+        let status = response.status();
+        let body = read_body(response.into_body()).await?;
         self.sender = Some(sender);
         Ok((status, body))
     }
 
-    async fn exchange(
+    /// Sends a request and waits for the head of the response; opens a connection if there is none.
+    async fn send(
         &mut self,
         method: Method,
         path: &str,
@@ -272,25 +278,25 @@
             .map_err(|error| StoreError::Malformed(error.to_string()))?;
         let mut sender = match self.sender.take().filter(|sender| !sender.is_closed()) {
             Some(sender) => sender,
-            None => self.open().await?,
+            None => self.connect().await?,
         };
         sender.ready().await.map_err(|_| StoreError::Broken)?;
-        let answer = sender.send_request(request).await.map_err(|_| StoreError::Broken)?;
-        Ok((sender, answer))
+        let response = sender.send_request(request).await.map_err(|_| StoreError::Broken)?;
+        Ok((sender, response))
     }
 
-    async fn open(&self) -> Result<SendRequest<Full<Bytes>>, StoreError> {
+    async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, StoreError> {
         let stream =
             net::connect(self.address).await.map_err(|error| StoreError::Connect(error.kind()))?;
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| StoreError::Broken)?;
-        // Its end shows in the sender.
+        // `SendRequest::is_closed` reports the end of this task.
         tokio::spawn(async move { connection.await.ok() });
         Ok(sender)
     }
 }
 
-/// Reads a body for as long as more of it arrives.
+/// Reads a body to its end; fails if no further part of it arrives within [`CALL_TIMEOUT`].
 async fn read_body(mut body: Incoming) -> Result<Bytes, StoreError> {
     let mut bytes = BytesMut::new();
     loop {
@@ -305,7 +311,7 @@
 }
 
 impl WireItem {
-    fn read(self) -> Item {
+    fn into_item(self) -> Item {
         let value = match self.value {
             Some(WireValue::Text(text)) => STANDARD.decode(&text).ok().map(Bytes::from),
             Some(WireValue::Other(_)) | None => None,
@@ -313,20 +319,20 @@
         Item { key: self.key, value, revision: self.revision }
     }
 
-    fn change(self) -> ItemChange {
+    fn into_change(self) -> ItemChange {
         if self.deleted {
             return ItemChange::Deleted { key: self.key, revision: self.revision };
         }
-        ItemChange::Written(self.read())
+        ItemChange::Written(self.into_item())
     }
 }
 
-fn read<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, StoreError> {
-    wire::read(body).map_err(|error| StoreError::Malformed(error.to_string()))
+fn decode_body<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, StoreError> {
+    wire::from_json(body).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-/// Encodes a key for a query.
-fn encode(key: &str) -> String {
+/// Percent-encodes a key for the query of a URI.
+fn percent_encode(key: &str) -> String {
     let mut encoded = String::with_capacity(key.len());
     for byte in key.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte) {
--- a/teaselworks/src/platform/upstream.rs
+++ b/teaselworks/src/platform/upstream.rs
@@ -1,4 +1,4 @@
-//! Decodes the entry that a replica keeps of itself.
+//! Decodes the entry that each replica keeps about itself in the platform's store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,9 @@
 
 use super::{DecodeError, wire};
 
-/// Every field stands in every entry; one that lacks a field is not a replica's own.
+/// JSON value of a replica's entry.
+///
+/// Every field except `born` is required: an entry that lacks one was not written by a replica.
 #[derive(Deserialize)]
 struct WireUpstream {
     service: Arc<str>,
@@ -17,23 +19,23 @@
     zone: Arc<str>,
     #[serde(rename = "version")]
     _version: IgnoredText,
-    #[serde(deserialize_with = "wire::small")]
+    #[serde(deserialize_with = "wire::saturating_u32")]
     slots: u32,
     state: State,
-    #[serde(rename = "cold_remaining_ms", deserialize_with = "wire::milliseconds")]
-    _cold: Duration,
-    #[serde(rename = "sequence", deserialize_with = "wire::whole")]
+    #[serde(rename = "cold_remaining_ms", deserialize_with = "wire::duration_ms")]
+    _cold_remaining: Duration,
+    #[serde(rename = "sequence", deserialize_with = "wire::saturating_u64")]
     _sequence: u64,
-    /// Milliseconds since the epoch at which the process started; replicas of earlier versions do
-    /// not say it.
-    #[serde(default, deserialize_with = "wire::present")]
+    /// Start of the process in milliseconds since the Unix epoch; replicas of earlier versions omit
+    /// it.
+    #[serde(default, deserialize_with = "wire::non_null")]
     born: Option<u64>,
 }
 
-/// Text that is checked and not kept.
+/// Text that must be present in a valid entry but is not used.
 type IgnoredText = Box<str>;
 
-/// Nothing is said of a replica that is ill.
+/// State that a replica reports; there is no value for an unhealthy replica.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum State {
@@ -41,9 +43,9 @@
     Draining,
 }
 
-/// Decodes an entry; `id` stands in its key alone.
+/// Decodes an entry; `id` comes from its key, as the value does not contain it.
 pub(super) fn decode(id: &str, value: &[u8]) -> Result<Upstream, DecodeError> {
-    let wire: WireUpstream = wire::read(value)?;
+    let wire: WireUpstream = wire::from_json(value)?;
     Ok(Upstream {
         id: id.into(),
         service: wire.service,
