--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -1,4 +1,5 @@
-//! Headers of requests and answers: what they say to the router, and what is passed on.
+//! HTTP headers of requests and responses: parses those that the router uses, and selects those that
+//! it forwards.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,24 +12,28 @@
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Identifier of the upstream that alone may run the request.
+/// Identifier of the only upstream that may run the request.
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
+/// Name of the caller's workspace, which the platform calls a tenant.
 const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
-/// Prompt tokens and the most output tokens; says nothing of tokens that were used.
+/// Number of prompt tokens and maximum number of output tokens; not the number of tokens that were
+/// used.
 const TOKEN_USAGE: HeaderName = HeaderName::from_static("x-token-usage");
+/// Parts of the prompt in order, each as `hexadecimal identifier:number of tokens`.
 const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// Address of a replica to copy kept parts of the prompt from.
-const FETCH_FROM: HeaderName = HeaderName::from_static("kv-fetch");
+/// Address of a replica from which the upstream may copy cached parts of the prompt.
+const KV_FETCH: HeaderName = HeaderName::from_static("kv-fetch");
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Signature of the upstream's answer.
-const STAMP: HeaderName = HeaderName::from_static("x-server-stamp");
+/// Signature by which a response shows that it comes from an upstream.
+const SERVER_STAMP: HeaderName = HeaderName::from_static("x-server-stamp");
+/// Present if the upstream did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-const INSTANCE: HeaderName = HeaderName::from_static("x-instance-id");
-const LOAD: HeaderName = HeaderName::from_static("x-server-load");
+const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
+const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection.
+/// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -41,8 +46,8 @@
     header::UPGRADE,
 ];
 
-/// Headers that only routers send. What a caller puts there is dropped: it could name the memory of
-/// another workspace's request.
+/// Headers that only routers may send. They are dropped from a caller's request, where they could
+/// refer to cached prompts of another workspace.
 const RESERVED: [HeaderName; 10] = [
     TENANT,
     EXPECT_INSTANCE,
@@ -52,37 +57,38 @@
     HeaderName::from_static("x-pin-ms"),
     HeaderName::from_static("x-kv-backup"),
     HeaderName::from_static("kv-from"),
-    FETCH_FROM,
+    KV_FETCH,
     HeaderName::from_static("kv-move"),
 ];
 
-/// What the head of a caller's request says.
+/// Values that the router uses from the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// Identifier of this attempt of the caller.
+    /// Identifier that the caller gave to this attempt of its request.
     pub id: Arc<str>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the response, if stated.
     pub deadline: Option<Duration>,
-    /// API key.
+    /// API key of the caller, if present.
     pub api_key: Option<String>,
-    /// Prompt, where it is described.
+    /// Prompt, if the headers describe it.
     pub prompt: Option<Prompt>,
 }
 
-/// Why a head cannot be served.
+/// Why the headers of a request are rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HeadError {
-    /// The identifier is missing, repeated or no text.
+    /// The request identifier is missing, empty, repeated or not text.
     RequestId,
-    /// The host is missing or repeated.
+    /// The `host` header is missing, repeated, not text, or differs from the authority of the URI.
     Host,
-    /// The deadline is repeated, or no number of milliseconds.
+    /// The deadline is repeated, or is not a number of milliseconds from 0 to 1e9.
     Deadline,
 }
 
-/// Reads the head of a caller's request.
+/// Parses the headers of a caller's request.
 ///
-/// A description of a prompt that cannot be read is taken as none: it decides only the placing.
+/// A prompt description that cannot be parsed counts as absent, because it affects only the choice of
+/// the replica.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -91,30 +97,34 @@
 /// assert_eq!(parse_request_headers(&HeaderMap::new()), Err(HeadError::RequestId));
 /// ```
 pub fn parse_request_headers(headers: &HeaderMap) -> Result<RequestMetadata, HeadError> {
-    let id =
-        single(headers, &REQUEST_ID).filter(|id| !id.is_empty()).ok_or(HeadError::RequestId)?;
-    let deadline = match (headers.contains_key(&DEADLINE), single(headers, &DEADLINE)) {
+    let id = single_value(headers, &REQUEST_ID)
+        .filter(|id| !id.is_empty())
+        .ok_or(HeadError::RequestId)?;
+    let deadline = match (headers.contains_key(&DEADLINE), single_value(headers, &DEADLINE)) {
         (false, _) => None,
-        (true, value) => Some(value.and_then(milliseconds).ok_or(HeadError::Deadline)?),
+        (true, value) => Some(value.and_then(parse_milliseconds).ok_or(HeadError::Deadline)?),
     };
-    let api_key = single(headers, &header::AUTHORIZATION)
+    let api_key = single_value(headers, &header::AUTHORIZATION)
         .and_then(|value| value.strip_prefix("Bearer "))
         .map(|key| key.trim().to_owned());
-    Ok(RequestMetadata { id: id.into(), deadline, api_key, prompt: prompt(headers) })
+    Ok(RequestMetadata { id: id.into(), deadline, api_key, prompt: parse_prompt(headers) })
 }
 
 /// Returns the host that a request names.
 ///
-/// Two hosts would let a request take another route than the one that its key is checked for.
+/// Fails if the `host` header is missing, repeated or not text, or differs from the authority of
+/// `uri`: a request with two hosts could take a route other than the one for which its API key is
+/// checked.
 pub fn host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> Result<&'a str, HeadError> {
-    let named = single(headers, &header::HOST).ok_or(HeadError::Host)?;
+    let host = single_value(headers, &header::HOST).ok_or(HeadError::Host)?;
     match uri.authority() {
-        Some(authority) if authority.as_str() != named => Err(HeadError::Host),
-        _ => Ok(named),
+        Some(authority) if authority.as_str() != host => Err(HeadError::Host),
+        _ => Ok(host),
     }
 }
 
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a header, or `None` if it is missing, repeated or not text.
+fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     if values.next().is_some() {
@@ -123,16 +133,18 @@
     value.to_str().ok()
 }
 
-fn milliseconds(value: &str) -> Option<Duration> {
+/// Parses a number of milliseconds from 0 to 1e9, which may have a fraction.
+fn parse_milliseconds(value: &str) -> Option<Duration> {
     let ms: f64 = value.trim().parse().ok()?;
     (0.0..=1e9).contains(&ms).then(|| Duration::from_secs_f64(ms / 1e3))
 }
 
-fn prompt(headers: &HeaderMap) -> Option<Prompt> {
-    let usage = single(headers, &TOKEN_USAGE)?;
+/// Parses the description of a prompt; `None` if it is missing or a number in it is invalid.
+fn parse_prompt(headers: &HeaderMap) -> Option<Prompt> {
+    let usage = single_value(headers, &TOKEN_USAGE)?;
     let (input, output) = usage.split_once(',')?;
     let mut parts = Vec::new();
-    for part in single(headers, &PROMPT_PREFIX).unwrap_or_default().split(',') {
+    for part in single_value(headers, &PROMPT_PREFIX).unwrap_or_default().split(',') {
         let Some((id, tokens)) = part.trim().split_once(':') else { continue };
         let id = u64::from_str_radix(id, 16).ok()?;
         parts.push(Part { id, tokens: tokens.parse().ok()? });
@@ -144,30 +156,31 @@
     })
 }
 
-/// What a router adds to a request that it passes on.
+/// Values of the headers that the router adds to a request that it sends to an upstream.
 #[derive(Clone, Debug)]
 pub struct AddedHeaders<'a> {
-    /// Upstream that alone may run it.
+    /// Identifier of the only upstream that may run the request.
     pub upstream: &'a str,
-    /// Time that is left.
+    /// Time left until the deadline of the request.
     pub remaining: Duration,
-    /// Workspace that holds the caller's key.
+    /// Workspace that the caller's API key belongs to.
     pub workspace: Option<&'a str>,
-    /// Rank, where engines take one.
+    /// Priority, for engines that support one; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Upstream from which it may take what that one keeps of the prompt.
+    /// Address of a replica from which the upstream may copy cached parts of the prompt.
     pub holder: Option<SocketAddr>,
-    /// Event after which a stream goes on, in place of the caller's.
+    /// Identifier of the event after which a resumed stream continues; replaces the caller's.
     pub last_event_id: Option<&'a str>,
 }
 
-/// Least urgent rank that engines know.
-const LAST_PRIORITY: u8 = 9;
+/// Least urgent priority that engines accept.
+const LEAST_URGENT_PRIORITY: u8 = 9;
 
-/// Returns the headers of a request as they are passed on, without those of framing.
-pub fn upstream_request_headers(headers: &HeaderMap, passing: &AddedHeaders<'_>) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len() + 4);
-    let named = connection_options(headers);
+/// Returns the headers of a caller's request as they are sent to an upstream, without those that
+/// frame the body.
+pub fn upstream_request_headers(headers: &HeaderMap, added: &AddedHeaders<'_>) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
+    let options = connection_options(headers);
     for (name, value) in headers {
         let is_dropped = HOP_BY_HOP.contains(name)
             || RESERVED.contains(name)
@@ -175,37 +188,40 @@
             || *name == header::CONTENT_LENGTH
             || *name == header::EXPECT
             || *name == DEADLINE
-            || named.iter().any(|option| name.as_str() == option);
+            || options.iter().any(|option| name.as_str() == option);
         if is_dropped {
             continue;
         }
-        passed.append(name.clone(), value.clone());
+        forwarded.append(name.clone(), value.clone());
     }
-    passed.insert(DEADLINE, HeaderValue::from(passing.remaining.as_millis() as u64));
-    insert(&mut passed, EXPECT_INSTANCE, passing.upstream);
-    if let Some(workspace) = passing.workspace {
-        insert(&mut passed, TENANT, workspace);
+    forwarded.insert(DEADLINE, HeaderValue::from(added.remaining.as_millis() as u64));
+    insert_if_valid(&mut forwarded, EXPECT_INSTANCE, added.upstream);
+    if let Some(workspace) = added.workspace {
+        insert_if_valid(&mut forwarded, TENANT, workspace);
     }
-    if let Some(priority) = passing.priority {
-        passed.insert(PRIORITY, HeaderValue::from(u16::from(priority.min(LAST_PRIORITY))));
+    if let Some(priority) = added.priority {
+        forwarded
+            .insert(PRIORITY, HeaderValue::from(u16::from(priority.min(LEAST_URGENT_PRIORITY))));
     }
-    if let Some(holder) = passing.holder {
-        insert(&mut passed, FETCH_FROM, &holder.to_string());
+    if let Some(holder) = added.holder {
+        insert_if_valid(&mut forwarded, KV_FETCH, &holder.to_string());
     }
-    if let Some(id) = passing.last_event_id {
-        insert(&mut passed, LAST_EVENT_ID, id);
+    if let Some(id) = added.last_event_id {
+        insert_if_valid(&mut forwarded, LAST_EVENT_ID, id);
     }
-    passed
+    forwarded
 }
 
-fn insert(headers: &mut HeaderMap, name: HeaderName, value: &str) {
-    // Names of the configuration may hold what no header can; such a header is left out, and the
-    // upstream refuses what it needs it for.
+/// Inserts a header unless its value contains characters that a header cannot carry.
+fn insert_if_valid(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+    // Names in the configuration may contain such characters. The header is then left out, and an
+    // upstream that needs it rejects the request.
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
+/// Returns the options of the `connection` header, in lower case.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let mut options = Vec::new();
     for value in headers.get_all(header::CONNECTION) {
@@ -215,53 +231,55 @@
     options
 }
 
-/// What the head of an upstream's answer says.
+/// Values that the router uses from the status and the headers of an upstream's response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResponseMetadata {
-    /// Identifier of the request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub id: Option<Box<str>>,
-    /// It bears the upstream's signature.
+    /// The response carries the signature of an upstream.
     pub is_signed: bool,
     /// The upstream did not run the request.
     pub is_not_run: bool,
-    /// Another upstream has the address.
+    /// The address now belongs to an upstream other than the one that the request named.
     pub is_misdirected: bool,
-    /// The body is encoded, which no upstream does.
+    /// The body has a content encoding, which upstreams never use.
     pub is_encoded: bool,
-    /// Load of the upstream.
+    /// Load that the upstream reports.
     pub load: Option<LoadReport>,
-    /// The connection will be closed after the answer.
+    /// The upstream closes the connection after the response.
     pub closes_connection: bool,
-    /// Time for which the upstream keeps the connection open.
+    /// Time for which the upstream keeps the connection open while it is idle.
     pub keep_alive: Option<Duration>,
 }
 
-/// Status by which an upstream says that the request was meant for another.
-const MISDIRECTED: u16 = 421;
+/// HTTP status 421 (Misdirected Request): the request names another upstream.
+const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Reads the head of an upstream's answer.
+/// Parses the status and the headers of an upstream's response.
 pub fn parse_response_headers(status: u16, headers: &HeaderMap) -> ResponseMetadata {
-    let is_misdirected = status == MISDIRECTED;
+    let is_misdirected = status == MISDIRECTED_REQUEST;
     ResponseMetadata {
-        id: single(headers, &REQUEST_ID).map(Box::from),
-        is_signed: headers.contains_key(&STAMP),
+        id: single_value(headers, &REQUEST_ID).map(Box::from),
+        is_signed: headers.contains_key(&SERVER_STAMP),
         is_not_run: is_misdirected || headers.contains_key(&NOT_EXECUTED),
         is_misdirected,
         is_encoded: headers.contains_key(header::CONTENT_ENCODING),
-        load: single(headers, &LOAD).and_then(load),
+        load: single_value(headers, &SERVER_LOAD).and_then(parse_load),
         closes_connection: connection_options(headers).iter().any(|option| option == "close"),
-        keep_alive: single(headers, &KEEP_ALIVE).and_then(keep_alive),
+        keep_alive: single_value(headers, &KEEP_ALIVE).and_then(parse_keep_alive),
     }
 }
 
-fn load(value: &str) -> Option<LoadReport> {
+/// Parses the numbers of running and waiting requests; further numbers are ignored.
+fn parse_load(value: &str) -> Option<LoadReport> {
     let mut numbers = value.split(',').map(|number| number.trim().parse::<u32>());
     let running = numbers.next()?.ok()?;
     let waiting = numbers.next()?.ok()?;
     Some(LoadReport { running, waiting })
 }
 
-fn keep_alive(value: &str) -> Option<Duration> {
+/// Parses the `timeout` option of a `keep-alive` header, which is in seconds.
+fn parse_keep_alive(value: &str) -> Option<Duration> {
     for option in value.split(',') {
         let Some(timeout) = option.trim().strip_prefix("timeout=") else { continue };
         return timeout.parse().ok().map(Duration::from_secs);
@@ -269,29 +287,32 @@
     None
 }
 
-/// Returns the headers of an answer as callers get them, without those of framing.
+/// Returns the headers of an upstream's response as they are sent to the caller, without those that
+/// frame the body.
 pub fn caller_response_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut answered = HeaderMap::with_capacity(headers.len());
-    let named = connection_options(headers);
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
+    let options = connection_options(headers);
     for (name, value) in headers {
         let is_dropped = HOP_BY_HOP.contains(name)
-            || [LOAD, INSTANCE, header::CONTENT_LENGTH].contains(name)
-            || named.iter().any(|option| name.as_str() == option);
+            || [SERVER_LOAD, INSTANCE_ID, header::CONTENT_LENGTH].contains(name)
+            || options.iter().any(|option| name.as_str() == option);
         if !is_dropped {
-            answered.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    answered
+    forwarded
 }
 
-/// Returns the headers of an answer of the router's own to a request.
+/// Returns the headers of a response that the router generates itself.
+///
+/// `id` is the identifier of the request; `retry_after` is sent in seconds with three decimals.
 pub fn router_response_headers(id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Some(id) = id {
-        insert(&mut headers, REQUEST_ID, id);
+        insert_if_valid(&mut headers, REQUEST_ID, id);
     }
     if let Some(after) = retry_after {
-        insert(&mut headers, header::RETRY_AFTER, &format!("{:.3}", after.as_secs_f64()));
+        insert_if_valid(&mut headers, header::RETRY_AFTER, &format!("{:.3}", after.as_secs_f64()));
     }
     headers
 }
