--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,9 +10,7 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{
-    DecodedItem, Item, ItemChange, KeyKind, Snapshot, classify_key, decode_item,
-};
+use crate::platform::{Item, ItemChange, ItemValue, KeyKind, Snapshot, classify_key, decode_item};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -101,14 +99,12 @@
         let mut routers = Vec::new();
         for item in &snapshot.items {
             match self.decode(item) {
-                Ok(DecodedItem::Configuration(configuration)) => {
+                Ok(ItemValue::Configuration(configuration)) => {
                     self.on_configuration(*configuration, item.revision, source);
                 }
-                Ok(DecodedItem::Upstream(upstream)) => {
-                    upstreams.push(ListEntry::Upstream(upstream))
-                }
-                Ok(DecodedItem::Router(name, address)) => routers.push((name, address)),
-                Ok(DecodedItem::Other) => {}
+                Ok(ItemValue::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
+                Ok(ItemValue::Router(name, address)) => routers.push((name, address)),
+                Ok(ItemValue::Other) => {}
                 Err(KeyKind::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
                 Err(KeyKind::Router(_) | KeyKind::Configuration | KeyKind::Other) => {}
             }
@@ -162,14 +158,14 @@
 
     fn on_written(&self, item: &Item, source: Source) {
         match self.decode(item) {
-            Ok(DecodedItem::Configuration(configuration)) => {
+            Ok(ItemValue::Configuration(configuration)) => {
                 self.on_configuration(*configuration, item.revision, source);
             }
-            Ok(DecodedItem::Upstream(upstream)) => {
+            Ok(ItemValue::Upstream(upstream)) => {
                 let change = self.registry().put(upstream);
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
-            Ok(DecodedItem::Router(name, address)) => {
+            Ok(ItemValue::Router(name, address)) => {
                 let is_new = self.shared.fleet().membership.put(name.clone(), address);
                 if is_new {
                     let fields = [event::text("router", &name), event::text("address", &address)];
@@ -181,7 +177,7 @@
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
             Err(KeyKind::Router(name)) => self.on_router_lost(name),
-            Ok(DecodedItem::Other) | Err(KeyKind::Configuration | KeyKind::Other) => {}
+            Ok(ItemValue::Other) | Err(KeyKind::Configuration | KeyKind::Other) => {}
         }
     }
 
@@ -251,7 +247,7 @@
     }
 
     /// Decodes an item; where it cannot be understood, returns what its key is about.
-    fn decode<'a>(&self, item: &'a Item) -> Result<DecodedItem, KeyKind<'a>> {
+    fn decode<'a>(&self, item: &'a Item) -> Result<ItemValue, KeyKind<'a>> {
         decode_item(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
                 event::text("key", &item.key),
--- a/teaselworks/src/platform/item.rs
+++ b/teaselworks/src/platform/item.rs
@@ -62,7 +62,7 @@
 
 /// Decoded value of an item.
 #[derive(Clone, Debug)]
-pub enum DecodedItem {
+pub enum ItemValue {
     /// The operator's configuration.
     Configuration(Box<Configuration>),
     /// An upstream.
@@ -77,20 +77,18 @@
 ///
 /// Fails if the value of a configuration, an upstream or a router cannot be decoded; values of
 /// other keys are ignored.
-pub fn decode_item(item: &Item) -> Result<DecodedItem, DecodeError> {
+pub fn decode_item(item: &Item) -> Result<ItemValue, DecodeError> {
     let key_kind = classify_key(&item.key);
     if key_kind == KeyKind::Other {
-        return Ok(DecodedItem::Other);
+        return Ok(ItemValue::Other);
     }
     let Some(value) = &item.value else {
         return Err(DecodeError::new("value", "is not base64 text"));
     };
     Ok(match key_kind {
-        KeyKind::Configuration => {
-            DecodedItem::Configuration(Box::new(configuration::decode(value)?))
-        }
-        KeyKind::Upstream(id) => DecodedItem::Upstream(upstream::decode(id, value)?),
-        KeyKind::Router(name) => DecodedItem::Router(name.into(), registration::decode(value)?),
-        KeyKind::Other => DecodedItem::Other,
+        KeyKind::Configuration => ItemValue::Configuration(Box::new(configuration::decode(value)?)),
+        KeyKind::Upstream(id) => ItemValue::Upstream(upstream::decode(id, value)?),
+        KeyKind::Router(name) => ItemValue::Router(name.into(), registration::decode(value)?),
+        KeyKind::Other => ItemValue::Other,
     })
 }
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use teaselworks::beliefs::News;
 use teaselworks::peers::message::{self, Answer, Heard, Question};
-use teaselworks::platform::{DecodedItem, Item, ItemChange, decode_item};
+use teaselworks::platform::{Item, ItemChange, ItemValue, decode_item};
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
 
@@ -16,14 +16,14 @@
 
 fn configuration(value: &serde_json::Value) -> Configuration {
     match decode_item(&item("op/config", value.to_string().as_bytes())).unwrap() {
-        DecodedItem::Configuration(configuration) => *configuration,
+        ItemValue::Configuration(configuration) => *configuration,
         belief => panic!("{belief:?}"),
     }
 }
 
 fn upstream(value: &serde_json::Value) -> Upstream {
     match decode_item(&item("servers/i-7", value.to_string().as_bytes())).unwrap() {
-        DecodedItem::Upstream(upstream) => upstream,
+        ItemValue::Upstream(upstream) => upstream,
         belief => panic!("{belief:?}"),
     }
 }
@@ -176,7 +176,7 @@
         ]),
         value in any_json(),
     ) {
-        if let Ok(DecodedItem::Upstream(upstream)) =
+        if let Ok(ItemValue::Upstream(upstream)) =
             decode_item(&item("servers/i-7", with(field, value.clone()).to_string().as_bytes()))
         {
             prop_assert_eq!(&*upstream.id, "i-7");
