--- a/teaselworks/src/net.rs
+++ b/teaselworks/src/net.rs
@@ -1,4 +1,4 @@
-//! TCP connections that notice a peer that went silent.
+//! TCP listeners, and TCP connections that detect an unreachable peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,26 +9,29 @@
 
 use crate::event;
 
-/// Longest time to open a connection; less than the time after which the first packet is sent again,
-/// as another upstream is reached sooner.
+/// Longest time to open a connection. It is shorter than the time after which TCP sends the first
+/// packet again, because connecting to another upstream takes less time than that.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time for which sent bytes may stay unacknowledged: two losses in a row are borne.
+/// Longest time for which sent bytes may stay unacknowledged before the connection is closed; it
+/// tolerates the loss of two packets in a row.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Silence after which an idle connection is probed, and the time between probes.
+/// Idle time before the first keepalive probe of a connection, and the time between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
-/// Pause after a connection could not be accepted: descriptors are free again when others close.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Connections that may wait to be accepted; a burst beyond it would lose seconds.
-const BACKLOG: u32 = 1_024;
+/// Number of unanswered keepalive probes after which a connection is closed.
+const MAX_UNANSWERED_PROBES: u32 = 2;
+/// Delay after a connection could not be accepted: file descriptors become free again when other
+/// connections close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of connections that wait to be accepted. Connections of a larger burst would be
+/// delayed by seconds.
+const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Opens a connection within [`CONNECT_TIMEOUT`].
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     connect_within(address, CONNECT_TIMEOUT).await
 }
 
-/// Opens a connection; fails with [`io::ErrorKind::TimedOut`] where that takes longer than `longest`.
+/// Opens a connection; fails with [`io::ErrorKind::TimedOut`] if that takes longer than `timeout`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -41,46 +44,50 @@
 /// assert!(net::connect_within(address, Duration::from_secs(9)).await.is_ok());
 /// # });
 /// ```
-pub async fn connect_within(address: SocketAddr, longest: Duration) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(longest, TcpStream::connect(address))
+pub async fn connect_within(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_peer(&stream)?;
+    enable_dead_peer_detection(&stream)?;
     Ok(stream)
 }
 
-/// Makes a connection end when its peer neither acknowledges nor answers probes.
+/// Sets the options of a connection that close it when its peer neither acknowledges data nor answers
+/// keepalive probes, and that send small packets without delay.
 ///
-/// A VM that lost power or is cut off sends no reset.
-pub fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+/// A VM that has lost its power or its network sends no reset, so the connection would otherwise stay
+/// open.
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Accepts the next connection; failures are logged and waited out.
+/// Accepts the next connection. A failure is logged, and the next attempt follows after 50 ms.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         let accepted = listener.accept().await;
-        match accepted.and_then(|(stream, _)| watch_peer(&stream).map(|()| stream)) {
+        match accepted.and_then(|(stream, _)| enable_dead_peer_detection(&stream).map(|()| stream))
+        {
             Ok(stream) => return stream,
             Err(error) => {
                 event::ACCEPT_FAILED.log(&[event::text("cause", &error)]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Listens on an address.
+/// Listens for TCP connections on an address, which may still be in use by closed connections of an
+/// earlier process.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
