--- a/teaselworks/src/metrics.rs
+++ b/teaselworks/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of one router, readable as Prometheus text.
+//! Counters, gauges and histograms of one router, exported as Prometheus text.
 
 use std::time::Duration;
 
@@ -16,23 +16,23 @@
 const LATENCY_BOUNDS_MS: [f64; 14] =
     [1.0, 2.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 320.0, 640.0, 1_280.0, 2_560.0, 5_120.0, 1e4];
 
-/// Label sets that one instrument may have.
+/// Maximum number of label sets of one instrument.
 ///
-/// The library makes room for all of them at the start, spread over a hash table: with its 2,000
-/// that was 135 KB for each instrument. A set beyond the limit would be counted under
-/// `otel_metric_overflow` in place of its labels.
-const LABEL_SETS: usize = 200;
+/// The OpenTelemetry library allocates a hash table for all of them in advance. With the library's
+/// default of 2,000 it takes 135 KB for each instrument. A label set beyond the limit is counted
+/// under the label `otel_metric_overflow` instead of its own labels.
+const MAX_LABEL_SETS: usize = 200;
 
-/// What became of a call to the platform's store.
+/// Outcome of a call to the platform's store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreOutcome {
-    /// It was answered.
+    /// The store responded.
     Answered,
-    /// It failed.
+    /// The call failed.
     Failed,
 }
 
-/// Every instrument of the router.
+/// All metrics of the router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -51,7 +51,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the metrics.
     ///
     /// ```
     /// use teaselworks::metrics::Metrics;
@@ -64,8 +64,9 @@
             .with_registry(registry.clone())
             .without_target_info()
             .build()
-            .expect("a new registry has room for the exporter");
-        let provider = SdkMeterProvider::builder().with_reader(exporter).with_view(limited).build();
+            .expect("the Prometheus exporter can be registered in an empty registry");
+        let provider =
+            SdkMeterProvider::builder().with_reader(exporter).with_view(limit_label_sets).build();
         let meter = provider.meter("teaselworks");
         let metrics = Self {
             refusals: counter(&meter, "teaselworks_refusals", "Requests refused, by reason."),
@@ -92,12 +93,12 @@
                 .i64_up_down_counter("teaselworks_in_progress")
                 .with_description("Requests in progress.")
                 .build(),
-            first_byte: latency(
+            first_byte: latency_histogram(
                 &meter,
                 "teaselworks_first_byte_ms",
                 "Time from a request's arrival to the head of its answer.",
             ),
-            duration: latency(
+            duration: latency_histogram(
                 &meter,
                 "teaselworks_duration_ms",
                 "Time from a request's arrival to the end of its answer.",
@@ -105,12 +106,13 @@
             registry,
             _provider: provider,
         };
-        metrics.show_all_reasons();
+        metrics.initialize_counters();
         metrics
     }
 
-    /// Adds zero to every labelled counter, so that each reason is listed before it first occurs.
-    fn show_all_reasons(&self) {
+    /// Adds zero to counters, so that they are exported before their first event: refusals and retries
+    /// for every reason, and the counters without labels.
+    fn initialize_counters(&self) {
         for reason in RefusalReason::ALL {
             for verdict in [Verdict::NotRun, Verdict::MayHaveRun] {
                 self.refusals.add(0, &refusal_labels(reason, verdict));
@@ -126,17 +128,17 @@
         }
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn add_refusal(&self, refusal: &Refusal) {
         self.refusals.add(1, &refusal_labels(refusal.reason, refusal.verdict));
     }
 
-    /// Counts a further attempt and the reason of the failed one.
+    /// Counts a retry under the reason why the previous attempt failed.
     pub fn add_retry(&self, reason: RetryReason) {
         self.retries.add(1, &[KeyValue::new("reason", reason.as_str())]);
     }
 
-    /// Counts a request whose answer is whole, and the time that it took.
+    /// Counts a request whose response is complete, and records its duration.
     pub fn add_answer(&self, kind: Kind, elapsed: Duration) {
         let kind = match kind {
             Kind::Idempotent => "idempotent",
@@ -147,22 +149,22 @@
         self.duration.record(elapsed.as_secs_f64() * 1e3, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Records the time to the head of an answer.
+    /// Records the time from the arrival of a request to the head of its response.
     pub fn record_first_byte(&self, elapsed: Duration) {
         self.first_byte.record(elapsed.as_secs_f64() * 1e3, &[]);
     }
 
-    /// Counts an answer that broke off.
+    /// Counts a response that broke off after it had begun.
     pub fn add_broken_answer(&self) {
         self.broken_answers.add(1, &[]);
     }
 
-    /// Counts a caller that left.
+    /// Counts a caller that closed its connection before its response was complete.
     pub fn add_caller_left(&self) {
         self.callers_left.add(1, &[]);
     }
 
-    /// Counts an ejected upstream.
+    /// Counts an ejection of an upstream.
     pub fn add_ejection(&self) {
         self.ejections.add(1, &[]);
     }
@@ -181,15 +183,16 @@
         self.store_calls.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Changes the number of requests in progress.
+    /// Adds `change`, which may be negative, to the number of requests in progress.
     pub fn add_in_progress(&self, change: i64) {
         self.in_progress.add(change, &[]);
     }
 
-    /// Returns every instrument as Prometheus text.
+    /// Returns all metrics as Prometheus text.
     pub fn to_text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory fails only on inconsistent families; an empty page shows that.
+        // Encoding into a vector fails only for inconsistent metric families; the page then lacks
+        // metrics, or is empty.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         let mut text = String::from_utf8(text).unwrap_or_default();
         text.push_str(&format!(
@@ -212,16 +215,20 @@
     [KeyValue::new("reason", reason.as_str()), KeyValue::new("verdict", verdict.as_str())]
 }
 
-/// Limits the label sets of an instrument and leaves the rest of it as it is.
-fn limited(_: &Instrument) -> Option<Stream> {
-    Stream::builder().with_cardinality_limit(LABEL_SETS).build().ok()
+/// Limits the number of label sets of an instrument, and changes nothing else about it.
+fn limit_label_sets(_: &Instrument) -> Option<Stream> {
+    Stream::builder().with_cardinality_limit(MAX_LABEL_SETS).build().ok()
 }
 
 fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
     meter.u64_counter(name).with_description(description).build()
 }
 
-fn latency(meter: &Meter, name: &'static str, description: &'static str) -> Histogram<f64> {
+fn latency_histogram(
+    meter: &Meter,
+    name: &'static str,
+    description: &'static str,
+) -> Histogram<f64> {
     meter
         .f64_histogram(name)
         .with_description(description)
