--- a/teaselworks/src/lib.rs
+++ b/teaselworks/src/lib.rs
@@ -1,7 +1,8 @@
-//! A router fleet that carries returning chats of many workspaces to shared upstreams.
+//! A fleet of routers that forwards the chat requests of many workspaces to shared upstreams.
 //!
-//! A router follows the configuration and the list of upstreams in the platform's store, and carries
-//! each request to the upstream that `teaselworks_policy` chooses.
+//! Each router watches the configuration and the list of upstreams in the platform's store, and
+//! forwards each request to the upstream that `teaselworks_policy` selects. The later requests of a
+//! chat share parts of their prompts with the earlier ones.
 #![warn(clippy::disallowed_methods)]
 
 pub mod beliefs;
--- a/teaselworks/src/main.rs
+++ b/teaselworks/src/main.rs
@@ -1,4 +1,4 @@
-//! The teaselworks binary.
+//! Entry point of the `teaselworks` program.
 
 use std::process::ExitCode;
 
