--- a/teaselworks/src/metrics.rs
+++ b/teaselworks/src/metrics.rs
@@ -110,8 +110,8 @@
         metrics
     }
 
-    /// Adds zero to counters, so that they are exported before their first event: refusals and retries
-    /// for every reason, and the counters without labels.
+    /// Adds zero to counters, so that they are exported before their first event: refusals and
+    /// retries for every reason, and the counters without labels.
     fn initialize_counters(&self) {
         for reason in RefusalReason::ALL {
             for verdict in [Verdict::NotRun, Verdict::MayHaveRun] {
--- a/teaselworks/src/net.rs
+++ b/teaselworks/src/net.rs
@@ -52,11 +52,11 @@
     Ok(stream)
 }
 
-/// Sets the options of a connection that close it when its peer neither acknowledges data nor answers
-/// keepalive probes, and that send small packets without delay.
+/// Sets the options of a connection that close it when its peer neither acknowledges data nor
+/// answers keepalive probes, and that send small packets without delay.
 ///
-/// A VM that has lost its power or its network sends no reset, so the connection would otherwise stay
-/// open.
+/// A VM that has lost its power or its network sends no reset, so the connection would otherwise
+/// stay open.
 pub fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -1,5 +1,5 @@
-//! HTTP headers of requests and responses: parses those that the router uses, and selects those that
-//! it forwards.
+//! HTTP headers of requests and responses: parses those that the router uses, and selects those
+//! that it forwards.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -87,8 +87,8 @@
 
 /// Parses the headers of a caller's request.
 ///
-/// A prompt description that cannot be parsed counts as absent, because it affects only the choice of
-/// the replica.
+/// A prompt description that cannot be parsed counts as absent, because it affects only the choice
+/// of the replica.
 ///
 /// ```
 /// use http::HeaderMap;
--- a/teaselworks/src/platform/mod.rs
+++ b/teaselworks/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! Adapter to the users' platform: its store, its HTTP headers and its data formats.
 //!
-//! This is the only module that knows the platform's names, formats and calls. Each value is decoded
-//! once into the router's own types; routing decisions are made in other modules.
+//! This is the only module that knows the platform's names, formats and calls. Each value is
+//! decoded once into the router's own types; routing decisions are made in other modules.
 
 mod configuration;
 mod error;
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -20,9 +20,9 @@
 use super::{Item, StoreError};
 use crate::net;
 
-/// Longest wait for the head of a response, and for each further part of its body. A call that times
-/// out is only repeated, so the timeout leaves time for a slow store, and for a large response over a
-/// slow link.
+/// Longest wait for the head of a response, and for each further part of its body. A call that
+/// times out is only repeated, so the timeout leaves time for a slow store, and for a large
+/// response over a slow link.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time beyond the requested wait after which a watch call times out.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
@@ -50,7 +50,8 @@
 pub enum WatchResult {
     /// Changes in order; empty if nothing changed.
     Changes(Vec<ItemChange>),
-    /// The store no longer holds the changes since the given revision: all items must be read again.
+    /// The store no longer holds the changes since the given revision: all items must be read
+    /// again.
     Compacted,
 }
 
