--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform writes, well-formed or not.
+//! Decoding of values in the platform's store and of messages between routers, valid and invalid.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,26 +10,31 @@
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
 
+/// Returns an item of the store at revision 1.
 fn item(key: &str, value: &[u8]) -> Item {
     Item { key: key.into(), value: Some(value.to_vec().into()), revision: 1 }
 }
 
+/// Decodes a value as the operator's configuration; panics if it is invalid.
 fn configuration(value: &serde_json::Value) -> Configuration {
     match decode_item(&item("op/config", value.to_string().as_bytes())).unwrap() {
         ItemValue::Configuration(configuration) => *configuration,
-        belief => panic!("{belief:?}"),
+        other => panic!("expected a configuration: {other:?}"),
     }
 }
 
+/// Decodes a value as the entry of a replica; panics if it is invalid.
 fn upstream(value: &serde_json::Value) -> Upstream {
     match decode_item(&item("servers/i-7", value.to_string().as_bytes())).unwrap() {
         ItemValue::Upstream(upstream) => upstream,
-        belief => panic!("{belief:?}"),
+        other => panic!("expected an upstream: {other:?}"),
     }
 }
 
+/// Guards against a configuration that is rejected because of fields that this router does not
+/// know, and against fields that are decoded with a wrong value.
 #[test]
-fn a_configuration_is_read_with_splits_and_unknown_fields() {
+fn configuration_with_traffic_split_and_unknown_fields_is_decoded() {
     let configuration = configuration(&json!({
         "version": 7,
         "later": { "field": true },
@@ -54,9 +59,10 @@
     assert!(!configuration.services["b"].copies_prompts);
 }
 
-/// Guards against a second run on a route of a kind that this router does not know.
+/// Guards against a request that runs twice because its route has a kind that this router does not
+/// know.
 #[test]
-fn an_unknown_kind_is_carried_at_most_once() {
+fn unknown_route_kind_runs_at_most_once() {
     let configuration = configuration(&json!({
         "version": 1,
         "routes": [{ "name": "r", "host": "h", "prefix": "/", "kind": "new", "timeout_ms": 1, "service": "a" }]
@@ -65,6 +71,7 @@
     assert!(!configuration.workspaces.is_required());
 }
 
+/// Returns a valid entry of a replica.
 fn entry() -> Value {
     json!({
         "service": "a", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 4,
@@ -72,60 +79,67 @@
     })
 }
 
-fn with(field: &str, value: Value) -> Value {
+/// Returns a valid entry in which one field is replaced.
+fn entry_with(field: &str, value: Value) -> Value {
     let mut entry = entry();
     entry[field] = value;
     entry
 }
 
-fn names_a_replica(value: &Value) -> bool {
+/// Returns whether a value decodes as the entry of a replica.
+fn is_valid_entry(value: &Value) -> bool {
     decode_item(&item("servers/i-7", value.to_string().as_bytes())).is_ok()
 }
 
+/// Guards against a wrong state or start time of a replica, and against rejecting the entries of
+/// earlier versions, which lack the start time.
 #[test]
-fn an_entry_names_a_replica_and_when_it_started() {
+fn valid_entry_is_decoded_with_state_and_start_time() {
     let ready = upstream(&entry());
     assert_eq!((&*ready.id, ready.is_draining), ("i-7", false));
     let started = SystemTime::UNIX_EPOCH + Duration::from_millis(1_700_000_000_123);
     assert_eq!(ready.started, Some(started));
-    assert!(upstream(&with("state", json!("draining"))).is_draining);
+    assert!(upstream(&entry_with("state", json!("draining"))).is_draining);
     let mut earlier = entry();
     earlier.as_object_mut().unwrap().remove("born");
     assert_eq!(upstream(&earlier).started, None);
 }
 
-/// Guards against requests to what an entry of another writer seems to name.
+/// Guards against requests to an address that does not belong to a replica, because another program
+/// wrote a similar value under the key of a replica.
 #[test]
-fn an_entry_that_lacks_a_field_or_has_another_type_names_no_replica() {
+fn entry_with_missing_or_mistyped_field_is_rejected() {
     let others = [json!(null), json!({}), json!([1]), json!(true), json!("text"), json!(-1.5e300)];
     for field in entry().as_object().unwrap().keys() {
         let mut entry = entry();
         let known = entry.as_object_mut().unwrap().remove(field).unwrap();
-        assert!(field == "born" || !names_a_replica(&entry), "without {field}");
+        assert!(field == "born" || !is_valid_entry(&entry), "without {field}");
         for other in &others {
             let is_same_type = known.is_string() && other.is_string() && field != "address";
             let is_number = field != "born" && known.is_number() && other.is_number();
             if !(is_number || is_same_type && field != "state") {
-                assert!(!names_a_replica(&with(field, other.clone())), "{field}: {other}");
+                assert!(!is_valid_entry(&entry_with(field, other.clone())), "{field}: {other}");
             }
         }
     }
     for born in [json!(1.5), json!("1700000000123"), json!(-1)] {
-        assert!(!names_a_replica(&with("born", born)));
+        assert!(!is_valid_entry(&entry_with("born", born)));
     }
     for state in ["of a later version", "Ready", ""] {
-        assert!(!names_a_replica(&with("state", json!(state))));
+        assert!(!is_valid_entry(&entry_with("state", json!(state))));
     }
 }
 
-/// Guards against a value of another writer that fills the log.
+/// Guards against a log that fills up because an error quotes a long value that another program
+/// wrote.
 #[test]
-fn a_fault_is_told_in_a_short_line() {
-    let long = with("state", json!("x".repeat(100_000)));
+fn decode_error_is_short() {
+    let long = entry_with("state", json!("x".repeat(100_000)));
     let error = decode_item(&item("servers/i-7", long.to_string().as_bytes())).unwrap_err();
     assert!(error.to_string().len() < 400);
 }
 
+/// Generates JSON values of every type, nested up to three levels.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -144,16 +158,16 @@
 }
 
 proptest! {
-    /// Guards against a message of another router, cut or garbled, that ends the router.
+    /// Guards against a panic on a truncated or corrupted message of another router.
     #[test]
-    fn no_message_ends_the_router(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn malformed_messages_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = message::decode::<Answer>(&bytes);
         let _ = message::decode::<Question>(&bytes);
     }
 
-    /// Guards against a message that is cut and taken for whole.
+    /// Guards against a truncated message that is decoded as if it were complete.
     #[test]
-    fn a_message_that_is_cut_is_refused(
+    fn truncated_messages_are_rejected(
         value in prop::collection::vec(any::<u8>(), 0..80),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -166,10 +180,10 @@
         prop_assert!(message::decode::<Answer>(&bytes[..cut.index(bytes.len())]).is_err());
     }
 
-    /// Guards against a field of another writer that ends the router, or names a replica that its
-    /// entry does not.
+    /// Guards against a field value from another program that makes the router panic, or that
+    /// changes the identifier of a replica, which comes from its key.
     #[test]
-    fn no_field_ends_the_router(
+    fn arbitrary_field_values_do_not_panic(
         field in prop::sample::select(vec![
             "service", "address", "zone", "version", "slots", "state", "cold_remaining_ms",
             "sequence", "born", "stage", "models", "version", "routes", "tenants", "limits",
@@ -177,7 +191,9 @@
         value in any_json(),
     ) {
         if let Ok(ItemValue::Upstream(upstream)) =
-            decode_item(&item("servers/i-7", with(field, value.clone()).to_string().as_bytes()))
+            decode_item(
+                &item("servers/i-7", entry_with(field, value.clone()).to_string().as_bytes())
+            )
         {
             prop_assert_eq!(&*upstream.id, "i-7");
         }
@@ -185,17 +201,18 @@
         let _ = decode_item(&item("op/config", configuration.to_string().as_bytes()));
     }
 
-    /// Guards against a router that ends on a value that somebody wrote.
+    /// Guards against a panic on a value in the store that is not valid JSON or CBOR.
     #[test]
-    fn no_value_ends_the_router(
+    fn arbitrary_bytes_do_not_panic(
         key in prop::sample::select(vec!["op/config", "servers/i-1", "routers/a", "else"]),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         let _ = decode_item(&item(key, &bytes));
     }
 
+    /// Guards against a panic on extreme numbers and unexpected texts in values of the right type.
     #[test]
-    fn no_json_ends_the_router(
+    fn extreme_numbers_and_texts_do_not_panic(
         version in any::<f64>(),
         timeout in any::<f64>(),
         priority in any::<f64>(),
