--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -1,9 +1,10 @@
-//! Headers of requests and answers that arrive malformed.
+//! Parsing of the headers of requests and responses, valid and malformed.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use proptest::prelude::*;
 use teaselworks::platform::headers::{parse_request_headers, parse_response_headers};
 
+/// Returns a header map of these names and values.
 fn headers(pairs: &[(&'static str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in pairs {
@@ -12,8 +13,9 @@
     headers
 }
 
+/// Guards against wrong token counts or parts of a prompt, by which its replica is chosen.
 #[test]
-fn a_prompt_is_read_from_its_parts() {
+fn prompt_is_parsed_from_token_usage_and_prefix() {
     let headers = headers(&[
         ("x-request-id", "1"),
         ("x-token-usage", "1460,80"),
@@ -24,27 +26,31 @@
     assert_eq!(prompt.key(), Some(0x91bd_3f06));
 }
 
+/// Guards against a request that is rejected because its prompt description is malformed.
 #[test]
-fn a_prompt_that_cannot_be_read_is_none() {
+fn malformed_prompt_description_is_ignored() {
     for usage in ["", "1460", "many,80", "-1,80"] {
         let headers = headers(&[("x-request-id", "1"), ("x-token-usage", usage)]);
         assert_eq!(parse_request_headers(&headers).unwrap().prompt, None, "{usage}");
     }
 }
 
+/// Guards against a load or keep-alive timeout that is missed among other numbers and options, and
+/// against flags that are set without their header.
 #[test]
-fn loads_and_timeouts_are_read_where_they_are_stated() {
+fn load_and_keep_alive_timeout_are_parsed() {
     let headers = headers(&[("x-server-load", "3, 1, 8"), ("keep-alive", "max=9, timeout=4")]);
-    let facts = parse_response_headers(200, &headers);
-    assert_eq!(facts.load.map(|load| (load.running, load.waiting)), Some((3, 1)));
-    assert_eq!(facts.keep_alive.map(|time| time.as_secs()), Some(4));
-    assert!(!facts.is_signed && !facts.is_not_run && !facts.closes_connection);
+    let metadata = parse_response_headers(200, &headers);
+    assert_eq!(metadata.load.map(|load| (load.running, load.waiting)), Some((3, 1)));
+    assert_eq!(metadata.keep_alive.map(|time| time.as_secs()), Some(4));
+    assert!(!metadata.is_signed && !metadata.is_not_run && !metadata.closes_connection);
     assert!(parse_response_headers(421, &HeaderMap::new()).is_not_run);
 }
 
 proptest! {
+    /// Guards against a panic on a header with an unexpected value.
     #[test]
-    fn no_header_ends_the_router(values in prop::collection::vec("[ -~]{0,40}", 7)) {
+    fn arbitrary_headers_do_not_panic(values in prop::collection::vec("[ -~]{0,40}", 7)) {
         let names = [
             "x-request-id", "x-deadline-ms", "authorization", "x-token-usage", "x-prompt-prefix",
             "x-server-load", "keep-alive",
