--- a/teaselworks/tests/common/mod.rs
+++ b/teaselworks/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What tests of whole fleets share.
+//! Helpers for tests that start whole fleets.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 use serde_json::Value;
 use teaselworks_standin::caller::Call;
@@ -8,28 +8,30 @@
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::router::Program;
 
-/// Returns the program under test.
+/// Returns the router binary under test.
 pub fn program() -> Program {
     Program::binary(env!("CARGO_BIN_EXE_teaselworks"))
 }
 
-/// Starts a fleet.
+/// Starts a fleet with this number of routers and the default configuration.
 pub async fn fleet(routers: usize) -> Fleet {
     Fleet::start(program(), routers).await.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Starts a fleet with a configuration and bounds of its own.
+/// Starts a fleet with the configuration of `plan`; `bounds` changes that section of the routers'
+/// settings.
 pub async fn fleet_with(routers: usize, plan: Plan, bounds: &Value) -> Fleet {
     let started = Fleet::start_with(program(), routers, plan, bounds).await;
     started.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Returns a request with a key and a deadline.
+/// Returns a request with an API key and a deadline of 6 s.
 pub fn request(method: &str, target: &str, id: &str) -> Call {
     Call::new(method, HOST, target, id).key(KEY).with("X-Deadline-Ms", "6000")
 }
 
-/// Returns a request whose prompt shares a part with others of the same chat.
+/// Returns a request whose prompt shares a part of 800 tokens with other requests of the same
+/// `chat`.
 pub fn chat(target: &str, id: &str, chat: u64) -> Call {
     request("POST", target, id)
         .with("X-Model", "m")
