--- a/teaselworks/src/net.rs
+++ b/teaselworks/src/net.rs
@@ -68,7 +68,8 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Accepts the next connection. A failure is logged, and the next attempt follows after 50 ms.
+/// Accepts the next connection. A failure is logged, and accepting is tried again after a short
+/// delay.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         let accepted = listener.accept().await;
--- a/teaselworks/src/platform/configuration.rs
+++ b/teaselworks/src/platform/configuration.rs
@@ -11,6 +11,7 @@
 
 use super::{DecodeError, wire};
 
+/// The operator's configuration, as the platform writes it.
 #[derive(Deserialize)]
 struct WireConfiguration {
     #[serde(deserialize_with = "wire::saturating_u64")]
@@ -20,7 +21,7 @@
     #[serde(default)]
     services: Vec<WireService>,
     limits: Option<WireLimits>,
-    /// Workspaces, which the platform calls tenants.
+    /// Workspaces.
     #[serde(default)]
     tenants: Vec<WireTenant>,
 }
@@ -60,6 +61,7 @@
     1
 }
 
+/// A service that receives a share of a route's requests, in proportion to `weight`.
 #[derive(Deserialize)]
 struct WireTarget {
     service: Arc<str>,
@@ -92,6 +94,7 @@
     idle_timeout_ms: Duration,
 }
 
+/// A workspace, which the platform calls a tenant.
 #[derive(Deserialize)]
 struct WireTenant {
     name: Arc<str>,
--- a/teaselworks/src/platform/error.rs
+++ b/teaselworks/src/platform/error.rs
@@ -44,7 +44,7 @@
 const MAX_PROBLEM_CHARS: usize = 160;
 
 impl DecodeError {
-    /// Creates an error; a `problem` longer than 160 characters is truncated.
+    /// Creates an error for `field`; a long `problem` is truncated.
     ///
     /// ```
     /// use teaselworks::platform::DecodeError;
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -87,6 +87,7 @@
     }
 }
 
+/// An item or a change, as the store sends it.
 #[derive(Deserialize)]
 struct WireItem {
     key: Arc<str>,
@@ -106,6 +107,7 @@
     Other(IgnoredAny),
 }
 
+/// One page of a `/kv-range` response.
 #[derive(Deserialize)]
 struct WireRange {
     items: Vec<WireItem>,
@@ -116,11 +118,13 @@
     at: u64,
 }
 
+/// A `/kv-watch` response.
 #[derive(Deserialize)]
 struct WireWatch {
     events: Vec<WireItem>,
 }
 
+/// A `/kv-lease` response.
 #[derive(Deserialize)]
 struct WireLease {
     #[serde(deserialize_with = "wire::saturating_u64")]
@@ -129,6 +133,7 @@
     ttl_ms: Duration,
 }
 
+/// A write in a `/kv-txn` request; `value` is base64 text.
 #[derive(Serialize)]
 struct WirePut<'a> {
     key: &'a str,
