--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -10,7 +10,7 @@
 
 use super::{News, StoreCache};
 use crate::event;
-use crate::platform::{Belief, Item, ItemChange, Snapshot, Subject, decode, subject};
+use crate::platform::{Item, ItemChange, ItemValue, KeyKind, Snapshot, classify_key, decode_item};
 use crate::relay::Shared;
 
 /// Where news came from.
@@ -99,14 +99,14 @@
         let mut routers = Vec::new();
         for item in &snapshot.items {
             match self.decode(item) {
-                Ok(Belief::Configuration(configuration)) => {
+                Ok(ItemValue::Configuration(configuration)) => {
                     self.on_configuration(*configuration, item.revision, source);
                 }
-                Ok(Belief::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
-                Ok(Belief::Router(name, address)) => routers.push((name, address)),
-                Ok(Belief::Other) => {}
-                Err(Subject::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
-                Err(Subject::Router(_) | Subject::Configuration | Subject::Other) => {}
+                Ok(ItemValue::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
+                Ok(ItemValue::Router(name, address)) => routers.push((name, address)),
+                Ok(ItemValue::Other) => {}
+                Err(KeyKind::Upstream(id)) => upstreams.push(ListEntry::Unreadable(id.into())),
+                Err(KeyKind::Router(_) | KeyKind::Configuration | KeyKind::Other) => {}
             }
         }
         let changes = self.registry().replace(now, upstreams);
@@ -158,38 +158,38 @@
 
     fn on_written(&self, item: &Item, source: Source) {
         match self.decode(item) {
-            Ok(Belief::Configuration(configuration)) => {
+            Ok(ItemValue::Configuration(configuration)) => {
                 self.on_configuration(*configuration, item.revision, source);
             }
-            Ok(Belief::Upstream(upstream)) => {
+            Ok(ItemValue::Upstream(upstream)) => {
                 let change = self.registry().put(upstream);
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
-            Ok(Belief::Router(name, address)) => {
+            Ok(ItemValue::Router(name, address)) => {
                 let is_new = self.shared.fleet().membership.put(name.clone(), address);
                 if is_new {
                     let fields = [event::text("router", &name), event::text("address", &address)];
                     event::PEER_LISTED.log(&fields);
                 }
             }
-            Err(Subject::Upstream(id)) => {
+            Err(KeyKind::Upstream(id)) => {
                 let change = self.registry().suspend(id);
                 self.on_upstreams(change.as_slice(), item.revision, source);
             }
-            Err(Subject::Router(name)) => self.on_router_lost(name),
-            Ok(Belief::Other) | Err(Subject::Configuration | Subject::Other) => {}
+            Err(KeyKind::Router(name)) => self.on_router_lost(name),
+            Ok(ItemValue::Other) | Err(KeyKind::Configuration | KeyKind::Other) => {}
         }
     }
 
     fn on_deleted(&self, key: &str, revision: u64, source: Source) {
         let now = self.shared.now();
-        match subject(key) {
-            Subject::Upstream(id) => {
+        match classify_key(key) {
+            KeyKind::Upstream(id) => {
                 let change = self.registry().remove(now, id);
                 self.on_upstreams(change.as_slice(), revision, source);
             }
-            Subject::Router(name) => self.on_router_lost(name),
-            Subject::Configuration | Subject::Other => {}
+            KeyKind::Router(name) => self.on_router_lost(name),
+            KeyKind::Configuration | KeyKind::Other => {}
         }
     }
 
@@ -247,14 +247,14 @@
     }
 
     /// Decodes an item; where it cannot be understood, returns what its key is about.
-    fn decode<'a>(&self, item: &'a Item) -> Result<Belief, Subject<'a>> {
-        decode(item).map_err(|error| {
+    fn decode<'a>(&self, item: &'a Item) -> Result<ItemValue, KeyKind<'a>> {
+        decode_item(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
                 event::text("key", &item.key),
                 event::number("revision", item.revision),
                 event::text("cause", &error),
             ]);
-            subject(&item.key)
+            classify_key(&item.key)
         })
     }
 
--- a/teaselworks/src/beliefs/register.rs
+++ b/teaselworks/src/beliefs/register.rs
@@ -5,7 +5,7 @@
 
 use crate::event;
 use crate::kernel::{Shutdown, ShutdownPhase};
-use crate::platform::{Lease, Store, StoreError, registration, registration_key};
+use crate::platform::{Lease, Store, StoreError, registration_key, registration_value};
 
 /// Time for which the registration outlasts its router. Others count a router that was killed for
 /// that long, which only makes their parts of the retry budget smaller.
@@ -55,19 +55,19 @@
         }
         if let Some(lease) = lease {
             // It ends by itself otherwise.
-            let _ = self.store.end(lease).await;
+            let _ = self.store.revoke_lease(lease).await;
         }
     }
 
     async fn step(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
         if let Some(held) = *lease {
-            if self.store.renew(held).await? {
+            if self.store.renew_lease(held).await? {
                 return Ok(());
             }
             *lease = None;
         }
-        let taken = self.store.lease(self.lease_time).await?;
-        let value = registration(self.peers);
+        let taken = self.store.grant_lease(self.lease_time).await?;
+        let value = registration_value(self.peers);
         if self.store.put(&self.key, &value, taken).await? {
             *lease = Some(taken);
             event::REGISTERED.log(&[
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -16,14 +16,14 @@
 use teaselworks_policy::verdict::RefusalReason;
 
 use super::body::{self, BodyError, Outgoing};
-use crate::platform::headers::{self, RequestFacts};
+use crate::platform::headers::{self, RequestMetadata};
 
 /// Largest body that is read before the request is sent on, so that it can be sent again.
 const HELD_BODY_SIZE_BYTES: usize = 128 << 10;
 
 /// A request that may be served.
 pub(super) struct Prepared {
-    pub(super) facts: RequestFacts,
+    pub(super) facts: RequestMetadata,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
@@ -46,14 +46,14 @@
 /// Checks the head of a request.
 pub(super) fn check(
     head: Parts,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     configuration: &Configuration,
     now: Duration,
 ) -> Result<Prepared, RefusalReason> {
     let host = headers::host(&head.headers, &head.uri).map_err(|_| RefusalReason::Malformed)?;
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
-    let workspace = match &facts.key {
+    let workspace = match &facts.api_key {
         _ if route.is_anonymous || !configuration.workspaces.is_key_required() => None,
         Some(key) => {
             let workspace = configuration.workspaces.find(key);
