--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -11,7 +11,7 @@
 use super::page::{self, Page};
 use super::services::{CACHE, LEARNER, METRICS, SHARED, random_seed, register};
 use super::{ReloadSignal, StartError, reload, stop};
-use crate::beliefs::{Follower, Learner, PeerFallback, Registrar};
+use crate::discovery::{Follower, Learner, PeerFallback, Registrar};
 use crate::event;
 use crate::kernel::{ServiceRegistry, Shutdown, ShutdownPhase};
 use crate::net;
--- a/teaselworks/src/daemon/services.rs
+++ b/teaselworks/src/daemon/services.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::membership::Membership;
 use teaselworks_policy::retry::BudgetSettings;
 
-use crate::beliefs::{Learner, StoreCache};
+use crate::discovery::{Learner, StoreCache};
 use crate::kernel::{ServiceError, ServiceName, ServiceRegistry, Shutdown};
 use crate::metrics::Metrics;
 use crate::relay::Shared;
--- a/teaselworks/src/beliefs/cache.rs
+++ b/teaselworks/src/discovery/cache.rs
@@ -102,7 +102,7 @@
     /// Large news would take the link of this VM from its callers.
     ///
     /// ```
-    /// use teaselworks::beliefs::{StoreCache, News};
+    /// use teaselworks::discovery::{StoreCache, News};
     ///
     /// assert_eq!(StoreCache::default().news_after(0, None), News::Nothing);
     /// ```
--- a/teaselworks/src/lib.rs
+++ b/teaselworks/src/lib.rs
@@ -4,9 +4,9 @@
 //! each request to the upstream that `teaselworks_policy` chooses.
 #![warn(clippy::disallowed_methods)]
 
-pub mod beliefs;
 pub mod cli;
 pub mod daemon;
+pub mod discovery;
 pub mod event;
 #[cfg(feature = "experiment")]
 pub mod experiment;
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::upstream::{SharedFailures, SharedLoad, SharedObservations};
 
 use super::PeerError;
-use crate::beliefs::News;
+use crate::discovery::News;
 
 /// What a router asks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -10,7 +10,7 @@
 
 use super::message::{Heard, decode, encode};
 use super::{Answer, PeerError, Question};
-use crate::beliefs::StoreCache;
+use crate::discovery::StoreCache;
 use crate::net;
 use crate::relay::Shared;
 
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use teaselworks::beliefs::News;
+use teaselworks::discovery::News;
 use teaselworks::peers::message::{self, Answer, Heard, Question};
 use teaselworks::platform::{Belief, Item, ItemChange, decode};
 use teaselworks_policy::configuration::{Configuration, Kind};
