--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -11,7 +11,7 @@
 use super::page::{self, Page};
 use super::services::{CACHE, LEARNER, METRICS, SHARED, random_seed, register};
 use super::{ReloadSignal, StartError, reload, stop};
-use crate::discovery::{Follower, Learner, PeerFallback, Registrar};
+use crate::discovery::{Learner, PeerFallback, Registrar, StoreWatcher};
 use crate::event;
 use crate::kernel::{ServiceRegistry, Shutdown, ShutdownPhase};
 use crate::net;
@@ -98,7 +98,8 @@
     let fallback = PeerFallback::new(shared.clone(), random_seed());
     let max_staleness = settings.bounds.max_staleness();
     tokio::spawn(
-        Follower::new(new_store(), learner.clone(), fallback, metrics.clone(), max_staleness).run(),
+        StoreWatcher::new(new_store(), learner.clone(), fallback, metrics.clone(), max_staleness)
+            .run(),
     );
     let peers = settings.listen.peers.unwrap_or(settings.listen.callers);
     let shortest_lease = Duration::from_millis(settings.platform.shortest_lease_ms);
--- a/teaselworks/src/discovery/mod.rs
+++ b/teaselworks/src/discovery/mod.rs
@@ -2,12 +2,12 @@
 
 mod cache;
 mod fallback;
-mod follow;
-mod learn;
-mod register;
+mod registrar;
+mod updater;
+mod watcher;
 
 pub use self::cache::{News, StoreCache};
 pub use self::fallback::PeerFallback;
-pub use self::follow::Follower;
-pub use self::learn::{Learner, Source};
-pub use self::register::Registrar;
+pub use self::registrar::Registrar;
+pub use self::updater::{Learner, Source};
+pub use self::watcher::StoreWatcher;
--- a/teaselworks/src/discovery/follow.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -39,7 +39,7 @@
 }
 
 /// Task that keeps the beliefs up to date.
-pub struct Follower {
+pub struct StoreWatcher {
     store: Store,
     learner: Arc<Learner>,
     fallback: PeerFallback,
@@ -54,7 +54,7 @@
     told_at: Duration,
 }
 
-impl Follower {
+impl StoreWatcher {
     /// Makes the task; news may be as old as `news_age`.
     pub fn new(
         store: Store,
