--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpListener;
 
 use super::page::{self, Page};
-use super::services::{CACHE, LEARNER, METRICS, SHARED, random_seed, register};
+use super::services::{CACHE, METRICS, SHARED, UPDATER, random_seed, register};
 use super::{ReloadSignal, StartError, reload, stop};
-use crate::discovery::{Learner, PeerFallback, Registrar, StoreWatcher};
+use crate::discovery::{PeerFallback, Registrar, StateUpdater, StoreWatcher};
 use crate::event;
 use crate::kernel::{ServiceRegistry, Shutdown, ShutdownPhase};
 use crate::net;
@@ -92,13 +92,13 @@
     let shared = registry.find(&SHARED)?;
     let metrics = registry.find(&METRICS)?;
     let cache = registry.find(&CACHE)?;
-    let learner = registry.find(&LEARNER)?;
+    let updater = registry.find(&UPDATER)?;
     let new_store = || Store::new(settings.platform.address);
 
     let fallback = PeerFallback::new(shared.clone(), random_seed());
     let max_staleness = settings.bounds.max_staleness();
     tokio::spawn(
-        StoreWatcher::new(new_store(), learner.clone(), fallback, metrics.clone(), max_staleness)
+        StoreWatcher::new(new_store(), updater.clone(), fallback, metrics.clone(), max_staleness)
             .run(),
     );
     let peers = settings.listen.peers.unwrap_or(settings.listen.callers);
@@ -108,7 +108,7 @@
     if let Some(listener) = ports.peers {
         tokio::spawn(peers::serve(listener, cache, shared.clone()));
     }
-    tokio::spawn(sweep(shared.clone(), learner));
+    tokio::spawn(sweep(shared.clone(), updater));
     tokio::spawn(page::serve(ports.metrics, move || Page {
         status: StatusCode::OK,
         text: metrics.to_text(),
@@ -130,10 +130,10 @@
 }
 
 /// Removes expired state at regular intervals until the process ends.
-async fn sweep(shared: Arc<Shared>, learner: Arc<Learner>) {
+async fn sweep(shared: Arc<Shared>, updater: Arc<StateUpdater>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        learner.expire();
+        updater.expire();
         shared.connections.sweep(shared.now());
     }
 }
--- a/teaselworks/src/daemon/services.rs
+++ b/teaselworks/src/daemon/services.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::membership::Membership;
 use teaselworks_policy::retry::BudgetSettings;
 
-use crate::discovery::{Learner, StoreCache};
+use crate::discovery::{StateUpdater, StoreCache};
 use crate::kernel::{ServiceError, ServiceName, ServiceRegistry, Shutdown};
 use crate::metrics::Metrics;
 use crate::relay::Shared;
@@ -21,7 +21,7 @@
 /// Items of the store as last read, served to other routers.
 pub(super) const CACHE: ServiceName<StoreCache> = ServiceName::new("cache");
 /// Applies changes from the store and from other routers to this router's view of the fleet.
-pub(super) const LEARNER: ServiceName<Learner> = ServiceName::new("learner");
+pub(super) const UPDATER: ServiceName<StateUpdater> = ServiceName::new("updater");
 
 /// Creates and registers all services that other services look up.
 pub(super) fn register(
@@ -37,11 +37,11 @@
     let zone = settings.router.zone.clone();
     let shared = Arc::new(Shared::new(clock, metrics.clone(), shutdown.clone(), zone, fleet));
     let cache = Arc::new(StoreCache::default());
-    let learner = Arc::new(Learner::new(shared.clone(), cache.clone()));
+    let updater = Arc::new(StateUpdater::new(shared.clone(), cache.clone()));
     registry.register(&METRICS, metrics)?;
     registry.register(&SHARED, shared)?;
     registry.register(&CACHE, cache)?;
-    registry.register(&LEARNER, learner)?;
+    registry.register(&UPDATER, updater)?;
     Ok(registry)
 }
 
--- a/teaselworks/src/discovery/fallback.rs
+++ b/teaselworks/src/discovery/fallback.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg32;
 
-use super::{Learner, Source};
+use super::{Source, StateUpdater};
 use crate::event;
 use crate::peers::message::Heard;
 use crate::peers::{Peer, Question};
@@ -32,11 +32,11 @@
     /// Asks a few routers, and learns from the first that knows something newer.
     ///
     /// The store may turn this router away and serve the others.
-    pub async fn ask(&mut self, learner: &Learner) {
+    pub async fn ask(&mut self, updater: &StateUpdater) {
         let addresses = self.shared.fleet().membership.addresses();
         let asked: Vec<SocketAddr> = addresses.sample(&mut self.random, ASKED).copied().collect();
         for address in asked {
-            let known = learner.revision();
+            let known = updater.revision();
             let question = Question {
                 known_revision: known,
                 wait: Duration::ZERO,
@@ -52,9 +52,9 @@
                 }
             };
             if answer.reads_store {
-                learner.on_read_elsewhere();
+                updater.on_read_elsewhere();
             }
-            if learner.on_news(&answer.news, Source::Peer(address)) {
+            if updater.on_news(&answer.news, Source::Peer(address)) {
                 return;
             }
         }
--- a/teaselworks/src/discovery/mod.rs
+++ b/teaselworks/src/discovery/mod.rs
@@ -9,5 +9,5 @@
 pub use self::cache::{News, StoreCache};
 pub use self::fallback::PeerFallback;
 pub use self::registrar::Registrar;
-pub use self::updater::{Learner, Source};
+pub use self::updater::{Source, StateUpdater};
 pub use self::watcher::StoreWatcher;
--- a/teaselworks/src/discovery/updater.rs
+++ b/teaselworks/src/discovery/updater.rs
@@ -32,14 +32,14 @@
 }
 
 /// Applies news to what the router believes.
-pub struct Learner {
+pub struct StateUpdater {
     shared: Arc<Shared>,
     cache: Arc<StoreCache>,
     registry: Mutex<Registry>,
 }
 
-impl Learner {
-    /// Makes a learner that knows nothing yet.
+impl StateUpdater {
+    /// Makes a updater that knows nothing yet.
     pub fn new(shared: Arc<Shared>, cache: Arc<StoreCache>) -> Self {
         Self { shared, cache, registry: Mutex::default() }
     }
--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Learner, News, PeerFallback, Source};
+use super::{News, PeerFallback, Source, StateUpdater};
 use crate::event;
 use crate::metrics::{Metrics, StoreOutcome};
 use crate::peers::message::Heard;
@@ -41,7 +41,7 @@
 /// Task that keeps the beliefs up to date.
 pub struct StoreWatcher {
     store: Store,
-    learner: Arc<Learner>,
+    updater: Arc<StateUpdater>,
     fallback: PeerFallback,
     metrics: Arc<Metrics>,
     news_age: Duration,
@@ -58,14 +58,14 @@
     /// Makes the task; news may be as old as `news_age`.
     pub fn new(
         store: Store,
-        learner: Arc<Learner>,
+        updater: Arc<StateUpdater>,
         fallback: PeerFallback,
         metrics: Arc<Metrics>,
         news_age: Duration,
     ) -> Self {
         Self {
             store,
-            learner,
+            updater,
             fallback,
             metrics,
             news_age,
@@ -96,7 +96,7 @@
     async fn read(&mut self) -> Result<bool, StoreError> {
         let snapshot = self.store.snapshot().await?;
         self.on_answer();
-        self.learner.on_snapshot(&snapshot, Source::Store);
+        self.updater.on_snapshot(&snapshot, Source::Store);
         Ok(true)
     }
 
@@ -105,11 +105,11 @@
         // While the store does not answer, a look that waits would only find that out later.
         let is_lost = self.contact != Contact::Answered;
         let wait = if is_lost { Duration::ZERO } else { self.news_age.mul_f64(WAIT_SHARE) };
-        let after = self.learner.revision();
+        let after = self.updater.revision();
         match self.store.watch(after, wait).await? {
             Watched::Changes(changes) => {
                 self.on_answer();
-                self.learner.on_changes(&changes, Source::Store);
+                self.updater.on_changes(&changes, Source::Store);
                 if !changes.is_empty() {
                     tokio::time::sleep(self.news_age.mul_f64(COLLECTING_SHARE)).await;
                 }
@@ -125,10 +125,10 @@
 
     /// Tells whether another router reads the store for this one at the moment.
     fn choose_reader(&mut self) -> bool {
-        if self.contact != Contact::Answered || self.learner.now() < self.reads_until {
+        if self.contact != Contact::Answered || self.updater.now() < self.reads_until {
             return false;
         }
-        let Some(address) = self.learner.reader() else {
+        let Some(address) = self.updater.reader() else {
             self.reader = None;
             return false;
         };
@@ -144,31 +144,31 @@
     async fn ask_reader(&mut self) {
         let Some(reader) = &mut self.reader else { return };
         let wait = self.news_age.mul_f64(ASKING_SHARE);
-        let told_at = std::mem::replace(&mut self.told_at, self.learner.now());
+        let told_at = std::mem::replace(&mut self.told_at, self.updater.now());
         let address = reader.address();
         let question = Question {
-            known_revision: self.learner.revision(),
+            known_revision: self.updater.revision(),
             wait,
             largest_bytes: Some(NEWS_SIZE_MAX_BYTES),
-            heard: Heard::pack(&self.learner.own_sightings_after(told_at)),
+            heard: Heard::pack(&self.updater.own_sightings_after(told_at)),
         };
         let cause = match reader.ask(question).await {
             Ok(answer) if answer.news == News::TooLarge => {
-                self.learner.on_sightings(&answer.heard.unpack());
+                self.updater.on_sightings(&answer.heard.unpack());
                 // One look at the store, after which the reader is asked again.
                 self.contact = Contact::Untried;
                 return;
             }
             Ok(answer) if answer.reads_store => {
-                self.learner.on_sightings(&answer.heard.unpack());
-                self.learner.on_news(&answer.news, Source::Peer(address));
+                self.updater.on_sightings(&answer.heard.unpack());
+                self.updater.on_news(&answer.news, Source::Peer(address));
                 return;
             }
             Ok(_) => "it cannot read the store".to_owned(),
             Err(error) => error.to_string(),
         };
         event::PEER_FAILED.log(&[event::text("address", &address), event::text("cause", &cause)]);
-        self.reads_until = self.learner.now() + OWN_READING;
+        self.reads_until = self.updater.now() + OWN_READING;
         self.reader = None;
         self.contact = Contact::Untried;
     }
@@ -179,26 +179,26 @@
         if before == Contact::Answered {
             return;
         }
-        self.learner.on_regained();
+        self.updater.on_regained();
         if before == Contact::Lost {
-            event::STORE_REGAINED.log(&[event::number("revision", self.learner.revision())]);
+            event::STORE_REGAINED.log(&[event::number("revision", self.updater.revision())]);
         }
     }
 
     async fn on_failure(&mut self, error: &StoreError) {
         self.metrics.add_store_call(StoreOutcome::Failed);
         if std::mem::replace(&mut self.contact, Contact::Lost) != Contact::Lost {
-            self.learner.on_lost();
+            self.updater.on_lost();
             event::STORE_LOST.log(&[
                 event::text("cause", error),
-                event::number("revision", self.learner.revision()),
+                event::number("revision", self.updater.revision()),
             ]);
         }
-        let until = self.learner.now() + self.learner.retry_pause(self.news_age);
+        let until = self.updater.now() + self.updater.retry_pause(self.news_age);
         // Other routers are asked as often as ever: what they say costs the store nothing.
         loop {
-            self.fallback.ask(&self.learner).await;
-            let left = until.saturating_sub(self.learner.now());
+            self.fallback.ask(&self.updater).await;
+            let left = until.saturating_sub(self.updater.now());
             tokio::time::sleep(left.min(ASK_PAUSE)).await;
             if left <= ASK_PAUSE {
                 return;
