--- a/teaselworks/src/discovery/cache.rs
+++ b/teaselworks/src/discovery/cache.rs
@@ -15,7 +15,7 @@
 
 /// What is newer than a revision of the store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum StoreUpdate {
     /// Nothing.
     Nothing,
     /// These changes, in order.
@@ -26,13 +26,13 @@
     TooLarge,
 }
 
-impl News {
+impl StoreUpdate {
     fn size_bytes(&self) -> usize {
         let size = |item: &Item| item.key.len() + item.value.as_ref().map_or(0, Bytes::len);
         match self {
-            News::Nothing | News::TooLarge => 0,
-            News::Whole(snapshot) => snapshot.items.iter().map(size).sum(),
-            News::Changes(changes) => {
+            StoreUpdate::Nothing | StoreUpdate::TooLarge => 0,
+            StoreUpdate::Whole(snapshot) => snapshot.items.iter().map(size).sum(),
+            StoreUpdate::Changes(changes) => {
                 let written = changes.iter().filter_map(ItemChange::item);
                 written.map(size).sum()
             }
@@ -102,24 +102,24 @@
     /// Large news would take the link of this VM from its callers.
     ///
     /// ```
-    /// use teaselworks::discovery::{StoreCache, News};
+    /// use teaselworks::discovery::{StoreCache, StoreUpdate};
     ///
-    /// assert_eq!(StoreCache::default().news_after(0, None), News::Nothing);
+    /// assert_eq!(StoreCache::default().news_after(0, None), StoreUpdate::Nothing);
     /// ```
-    pub fn news_after(&self, known: u64, largest_bytes: Option<usize>) -> News {
+    pub fn news_after(&self, known: u64, largest_bytes: Option<usize>) -> StoreUpdate {
         let news = self.all_after(known);
         let is_too_large = largest_bytes.is_some_and(|largest| news.size_bytes() > largest);
-        if is_too_large { News::TooLarge } else { news }
+        if is_too_large { StoreUpdate::TooLarge } else { news }
     }
 
-    fn all_after(&self, known: u64) -> News {
+    fn all_after(&self, known: u64) -> StoreUpdate {
         let state = self.lock();
         if state.revision <= known {
-            return News::Nothing;
+            return StoreUpdate::Nothing;
         }
         if known < state.forgotten {
             let items = state.items.values().cloned().collect();
-            return News::Whole(Snapshot { revision: state.revision, items });
+            return StoreUpdate::Whole(Snapshot { revision: state.revision, items });
         }
         let written = state.items.values().filter(|item| item.revision > known);
         let mut changes: Vec<ItemChange> = written.cloned().map(ItemChange::Written).collect();
@@ -129,7 +129,7 @@
             }
         }
         changes.sort_by_key(ItemChange::revision);
-        News::Changes(changes)
+        StoreUpdate::Changes(changes)
     }
 
     /// Replaces everything.
--- a/teaselworks/src/discovery/mod.rs
+++ b/teaselworks/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 mod updater;
 mod watcher;
 
-pub use self::cache::{News, StoreCache};
+pub use self::cache::{StoreCache, StoreUpdate};
 pub use self::fallback::PeerFallback;
 pub use self::registrar::Registrar;
 pub use self::updater::{Source, StateUpdater};
--- a/teaselworks/src/discovery/updater.rs
+++ b/teaselworks/src/discovery/updater.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::configuration::Configuration;
 use teaselworks_policy::upstream::{Change, ListEntry, Registry, SharedObservations};
 
-use super::{News, StoreCache};
+use super::{StoreCache, StoreUpdate};
 use crate::event;
 use crate::platform::{Belief, Item, ItemChange, Snapshot, Subject, decode, subject};
 use crate::relay::Shared;
@@ -118,13 +118,13 @@
     }
 
     /// Applies what another router knows; false where it is nothing new.
-    pub fn on_news(&self, news: &News, source: Source) -> bool {
+    pub fn on_news(&self, news: &StoreUpdate, source: Source) -> bool {
         let known = self.revision();
         match news {
-            News::Nothing | News::TooLarge => return false,
-            News::Changes(changes) => self.on_changes(changes, source),
-            News::Whole(snapshot) if snapshot.revision <= known => return false,
-            News::Whole(snapshot) => self.on_snapshot(snapshot, source),
+            StoreUpdate::Nothing | StoreUpdate::TooLarge => return false,
+            StoreUpdate::Changes(changes) => self.on_changes(changes, source),
+            StoreUpdate::Whole(snapshot) if snapshot.revision <= known => return false,
+            StoreUpdate::Whole(snapshot) => self.on_snapshot(snapshot, source),
         }
         event::PEER_ANSWERED.log(&[
             event::text("source", &source),
--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{News, PeerFallback, Source, StateUpdater};
+use super::{PeerFallback, Source, StateUpdater, StoreUpdate};
 use crate::event;
 use crate::metrics::{Metrics, StoreOutcome};
 use crate::peers::message::Heard;
@@ -153,7 +153,7 @@
             heard: Heard::pack(&self.updater.own_sightings_after(told_at)),
         };
         let cause = match reader.ask(question).await {
-            Ok(answer) if answer.news == News::TooLarge => {
+            Ok(answer) if answer.news == StoreUpdate::TooLarge => {
                 self.updater.on_sightings(&answer.heard.unpack());
                 // One look at the store, after which the reader is asked again.
                 self.contact = Contact::Untried;
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -8,7 +8,7 @@
 use teaselworks_policy::upstream::{SharedFailures, SharedLoad, SharedObservations};
 
 use super::PeerError;
-use crate::discovery::News;
+use crate::discovery::StoreUpdate;
 
 /// What a router asks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// It can read the store.
     pub reads_store: bool,
     /// What it knows beyond the revision.
-    pub news: News,
+    pub news: StoreUpdate,
     /// What it heard of upstreams since it answered last.
     #[serde(default)]
     pub heard: Heard,
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use teaselworks::discovery::News;
+use teaselworks::discovery::StoreUpdate;
 use teaselworks::peers::message::{self, Answer, Heard, Question};
 use teaselworks::platform::{Belief, Item, ItemChange, decode};
 use teaselworks_policy::configuration::{Configuration, Kind};
@@ -160,7 +160,7 @@
         let changes = vec![ItemChange::Written(item("servers/i-1", &value))];
         let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(9) };
         let heard = Heard::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
-        let answer = Answer { reads_store: true, news: News::Changes(changes), heard };
+        let answer = Answer { reads_store: true, news: StoreUpdate::Changes(changes), heard };
         let bytes = message::encode(&answer).unwrap();
         prop_assert_eq!(message::decode::<Answer>(&bytes).unwrap().news, answer.news);
         prop_assert!(message::decode::<Answer>(&bytes[..cut.index(bytes.len())]).is_err());
