--- a/teaselworks/src/discovery/fallback.rs
+++ b/teaselworks/src/discovery/fallback.rs
@@ -10,8 +10,8 @@
 
 use super::{Source, StateUpdater};
 use crate::event;
-use crate::peers::message::Heard;
-use crate::peers::{Peer, Question};
+use crate::peers::message::PackedObservations;
+use crate::peers::{Peer, PeerQuery};
 use crate::relay::Shared;
 
 /// Routers asked in one round; one of them may be turned away by the store as well.
@@ -37,11 +37,11 @@
         let asked: Vec<SocketAddr> = addresses.sample(&mut self.random, ASKED).copied().collect();
         for address in asked {
             let known = updater.revision();
-            let question = Question {
+            let question = PeerQuery {
                 known_revision: known,
                 wait: Duration::ZERO,
                 largest_bytes: None,
-                heard: Heard::default(),
+                heard: PackedObservations::default(),
             };
             let answer = match Peer::new(address).ask(question).await {
                 Ok(answer) => answer,
--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -7,8 +7,8 @@
 use super::{PeerFallback, Source, StateUpdater, StoreUpdate};
 use crate::event;
 use crate::metrics::{Metrics, StoreOutcome};
-use crate::peers::message::Heard;
-use crate::peers::{Peer, Question};
+use crate::peers::message::PackedObservations;
+use crate::peers::{Peer, PeerQuery};
 use crate::platform::{Store, StoreError, Watched};
 
 /// Part of the bound on the age of news for which one look waits for changes. A look that hears
@@ -146,11 +146,11 @@
         let wait = self.news_age.mul_f64(ASKING_SHARE);
         let told_at = std::mem::replace(&mut self.told_at, self.updater.now());
         let address = reader.address();
-        let question = Question {
+        let question = PeerQuery {
             known_revision: self.updater.revision(),
             wait,
             largest_bytes: Some(NEWS_SIZE_MAX_BYTES),
-            heard: Heard::pack(&self.updater.own_sightings_after(told_at)),
+            heard: PackedObservations::pack(&self.updater.own_sightings_after(told_at)),
         };
         let cause = match reader.ask(question).await {
             Ok(answer) if answer.news == StoreUpdate::TooLarge => {
--- a/teaselworks/src/peers/client.rs
+++ b/teaselworks/src/peers/client.rs
@@ -9,7 +9,7 @@
 use tokio_tungstenite::{WebSocketStream, client_async};
 
 use super::message::{decode, encode};
-use super::{Answer, PeerError, Question};
+use super::{PeerError, PeerQuery, PeerResponse};
 use crate::net;
 
 /// Time that an answer may take besides what it was asked to wait: it comes from memory.
@@ -34,7 +34,7 @@
     }
 
     /// Asks what the router knows; it may wait for that for a time.
-    pub async fn ask(&mut self, question: Question) -> Result<Answer, PeerError> {
+    pub async fn ask(&mut self, question: PeerQuery) -> Result<PeerResponse, PeerError> {
         let wait = question.wait;
         let opened = match self.socket.take() {
             Some(socket) => Ok(socket),
@@ -60,8 +60,8 @@
 
 async fn exchange(
     socket: &mut WebSocketStream<TcpStream>,
-    question: &Question,
-) -> Result<Answer, PeerError> {
+    question: &PeerQuery,
+) -> Result<PeerResponse, PeerError> {
     let question = encode(question)?;
     socket.send(Message::Binary(question)).await.map_err(|_| PeerError::Broken)?;
     while let Some(message) = socket.next().await {
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -12,7 +12,7 @@
 
 /// What a router asks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PeerQuery {
     /// Revision of the store up to which it knows everything.
     pub known_revision: u64,
     /// Longest time for which the answer waits for something newer.
@@ -21,25 +21,25 @@
     pub largest_bytes: Option<usize>,
     /// What it heard of upstreams itself since it asked last.
     #[serde(default)]
-    pub heard: Heard,
+    pub heard: PackedObservations,
 }
 
 /// What the other one answers.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PeerResponse {
     /// It can read the store.
     pub reads_store: bool,
     /// What it knows beyond the revision.
     pub news: StoreUpdate,
     /// What it heard of upstreams since it answered last.
     #[serde(default)]
-    pub heard: Heard,
+    pub heard: PackedObservations,
 }
 
 /// What a router heard of upstreams, in rows of the hash of the incarnation, a number and an age in
 /// milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct PackedObservations {
     /// Requests there.
     #[serde(default)]
     loads: Vec<Row>,
@@ -50,18 +50,18 @@
 
 type Row = (u64, u32, u32);
 
-impl Heard {
+impl PackedObservations {
     /// Packs observations for a message.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use teaselworks::peers::message::Heard;
+    /// use teaselworks::peers::message::PackedObservations;
     /// use teaselworks_policy::upstream::{SharedLoad, SharedObservations};
     ///
     /// let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(40) };
     /// let observations =
     ///     SharedObservations { loads: vec![load], ..SharedObservations::default() };
-    /// assert_eq!(Heard::pack(&observations).unpack(), observations);
+    /// assert_eq!(PackedObservations::pack(&observations).unpack(), observations);
     /// ```
     pub fn pack(observations: &SharedObservations) -> Self {
         let load = |load: &SharedLoad| (load.incarnation, load.total, ms(load.age));
--- a/teaselworks/src/peers/mod.rs
+++ b/teaselworks/src/peers/mod.rs
@@ -7,5 +7,5 @@
 
 pub use self::client::Peer;
 pub use self::error::PeerError;
-pub use self::message::{Answer, Question};
+pub use self::message::{PeerQuery, PeerResponse};
 pub use self::server::serve;
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -8,8 +8,8 @@
 use tokio_tungstenite::accept_async;
 use tokio_tungstenite::tungstenite::Message;
 
-use super::message::{Heard, decode, encode};
-use super::{Answer, PeerError, Question};
+use super::message::{PackedObservations, decode, encode};
+use super::{PeerError, PeerQuery, PeerResponse};
 use crate::discovery::StoreCache;
 use crate::net;
 use crate::relay::Shared;
@@ -39,14 +39,14 @@
         let message = tokio::time::timeout(SILENCE_TIMEOUT, socket.next()).await;
         let Some(message) = message.map_err(|_| PeerError::Timeout)? else { return Ok(()) };
         let Message::Binary(bytes) = message.map_err(|_| PeerError::Broken)? else { continue };
-        let Question { known_revision, wait, largest_bytes, heard } = decode(&bytes)?;
+        let PeerQuery { known_revision, wait, largest_bytes, heard } = decode(&bytes)?;
         shared.hear(&heard.unpack());
         cache.wait(known_revision, wait.min(WAIT_MAX)).await;
         let news = cache.news_after(known_revision, largest_bytes);
         let now = shared.now();
-        let heard = Heard::pack(&shared.fleet().sightings_after(now, told_at, false));
+        let heard = PackedObservations::pack(&shared.fleet().sightings_after(now, told_at, false));
         told_at = now;
-        let answer = encode(&Answer { reads_store: cache.is_current(), news, heard })?;
+        let answer = encode(&PeerResponse { reads_store: cache.is_current(), news, heard })?;
         socket.send(Message::Binary(answer)).await.map_err(|_| PeerError::Broken)?;
     }
 }
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use teaselworks::discovery::StoreUpdate;
-use teaselworks::peers::message::{self, Answer, Heard, Question};
+use teaselworks::peers::message::{self, PackedObservations, PeerQuery, PeerResponse};
 use teaselworks::platform::{Belief, Item, ItemChange, decode};
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
@@ -147,8 +147,8 @@
     /// Guards against a message of another router, cut or garbled, that ends the router.
     #[test]
     fn no_message_ends_the_router(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = message::decode::<Answer>(&bytes);
-        let _ = message::decode::<Question>(&bytes);
+        let _ = message::decode::<PeerResponse>(&bytes);
+        let _ = message::decode::<PeerQuery>(&bytes);
     }
 
     /// Guards against a message that is cut and taken for whole.
@@ -159,11 +159,11 @@
     ) {
         let changes = vec![ItemChange::Written(item("servers/i-1", &value))];
         let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(9) };
-        let heard = Heard::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
-        let answer = Answer { reads_store: true, news: StoreUpdate::Changes(changes), heard };
+        let heard = PackedObservations::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
+        let answer = PeerResponse { reads_store: true, news: StoreUpdate::Changes(changes), heard };
         let bytes = message::encode(&answer).unwrap();
-        prop_assert_eq!(message::decode::<Answer>(&bytes).unwrap().news, answer.news);
-        prop_assert!(message::decode::<Answer>(&bytes[..cut.index(bytes.len())]).is_err());
+        prop_assert_eq!(message::decode::<PeerResponse>(&bytes).unwrap().news, answer.news);
+        prop_assert!(message::decode::<PeerResponse>(&bytes[..cut.index(bytes.len())]).is_err());
     }
 
     /// Guards against a field of another writer that ends the router, or names a replica that its
