--- a/teaselworks/src/discovery/fallback.rs
+++ b/teaselworks/src/discovery/fallback.rs
@@ -41,7 +41,7 @@
                 known_revision: known,
                 wait: Duration::ZERO,
                 largest_bytes: None,
-                heard: PackedObservations::default(),
+                observations: PackedObservations::default(),
             };
             let answer = match Peer::new(address).ask(question).await {
                 Ok(answer) => answer,
@@ -54,7 +54,7 @@
             if answer.reads_store {
                 updater.on_read_elsewhere();
             }
-            if updater.on_news(&answer.news, Source::Peer(address)) {
+            if updater.on_news(&answer.update, Source::Peer(address)) {
                 return;
             }
         }
--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -150,18 +150,18 @@
             known_revision: self.updater.revision(),
             wait,
             largest_bytes: Some(NEWS_SIZE_MAX_BYTES),
-            heard: PackedObservations::pack(&self.updater.own_sightings_after(told_at)),
+            observations: PackedObservations::pack(&self.updater.own_sightings_after(told_at)),
         };
         let cause = match reader.ask(question).await {
-            Ok(answer) if answer.news == StoreUpdate::TooLarge => {
-                self.updater.on_sightings(&answer.heard.unpack());
+            Ok(answer) if answer.update == StoreUpdate::TooLarge => {
+                self.updater.on_sightings(&answer.observations.unpack());
                 // One look at the store, after which the reader is asked again.
                 self.contact = Contact::Untried;
                 return;
             }
             Ok(answer) if answer.reads_store => {
-                self.updater.on_sightings(&answer.heard.unpack());
-                self.updater.on_news(&answer.news, Source::Peer(address));
+                self.updater.on_sightings(&answer.observations.unpack());
+                self.updater.on_news(&answer.update, Source::Peer(address));
                 return;
             }
             Ok(_) => "it cannot read the store".to_owned(),
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -21,7 +21,8 @@
     pub largest_bytes: Option<usize>,
     /// What it heard of upstreams itself since it asked last.
     #[serde(default)]
-    pub heard: PackedObservations,
+    #[serde(rename = "heard")]
+    pub observations: PackedObservations,
 }
 
 /// What the other one answers.
@@ -30,10 +31,12 @@
     /// It can read the store.
     pub reads_store: bool,
     /// What it knows beyond the revision.
-    pub news: StoreUpdate,
+    #[serde(rename = "news")]
+    pub update: StoreUpdate,
     /// What it heard of upstreams since it answered last.
     #[serde(default)]
-    pub heard: PackedObservations,
+    #[serde(rename = "heard")]
+    pub observations: PackedObservations,
 }
 
 /// What a router heard of upstreams, in rows of the hash of the incarnation, a number and an age in
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -39,14 +39,16 @@
         let message = tokio::time::timeout(SILENCE_TIMEOUT, socket.next()).await;
         let Some(message) = message.map_err(|_| PeerError::Timeout)? else { return Ok(()) };
         let Message::Binary(bytes) = message.map_err(|_| PeerError::Broken)? else { continue };
-        let PeerQuery { known_revision, wait, largest_bytes, heard } = decode(&bytes)?;
-        shared.hear(&heard.unpack());
+        let PeerQuery { known_revision, wait, largest_bytes, observations } = decode(&bytes)?;
+        shared.hear(&observations.unpack());
         cache.wait(known_revision, wait.min(WAIT_MAX)).await;
-        let news = cache.news_after(known_revision, largest_bytes);
+        let update = cache.news_after(known_revision, largest_bytes);
         let now = shared.now();
-        let heard = PackedObservations::pack(&shared.fleet().sightings_after(now, told_at, false));
+        let observations =
+            PackedObservations::pack(&shared.fleet().sightings_after(now, told_at, false));
         told_at = now;
-        let answer = encode(&PeerResponse { reads_store: cache.is_current(), news, heard })?;
+        let answer =
+            encode(&PeerResponse { reads_store: cache.is_current(), update, observations })?;
         socket.send(Message::Binary(answer)).await.map_err(|_| PeerError::Broken)?;
     }
 }
