--- a/teaselworks/src/discovery/cache.rs
+++ b/teaselworks/src/discovery/cache.rs
@@ -1,4 +1,5 @@
-//! The store's items as this router last read them, for routers that do not read them themselves.
+//! Copy of the store's items, from which this router answers other routers that do not read the
+//! store themselves.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,28 +11,31 @@
 
 use crate::platform::{Item, ItemChange, Snapshot};
 
-/// Deletions that are remembered. A router that asks after more of them is given everything.
-const DELETIONS: usize = 1_024;
+/// Number of deletions kept. A router that may have missed an older one gets all items.
+const MAX_DELETIONS: usize = 1_024;
 
-/// What is newer than a revision of the store.
+/// Content of the store that is newer than a given revision.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum StoreUpdate {
-    /// Nothing.
+    /// Nothing is newer.
     Nothing,
-    /// These changes, in order.
+    /// The changes since the revision, ordered by revision; of several writes to an item, only the
+    /// last one.
     Changes(Vec<ItemChange>),
-    /// Everything, since not every change is known any more.
-    Whole(Snapshot),
-    /// More than the router that asked wants to get; it reads the store itself.
+    /// All items, because a deletion after the revision may no longer be known.
+    #[serde(rename = "Whole")]
+    Snapshot(Snapshot),
+    /// The update is larger than the querying router accepts; that router reads the store itself.
     TooLarge,
 }
 
 impl StoreUpdate {
+    /// Returns the size of the keys and values of the written items.
     fn size_bytes(&self) -> usize {
         let size = |item: &Item| item.key.len() + item.value.as_ref().map_or(0, Bytes::len);
         match self {
             StoreUpdate::Nothing | StoreUpdate::TooLarge => 0,
-            StoreUpdate::Whole(snapshot) => snapshot.items.iter().map(size).sum(),
+            StoreUpdate::Snapshot(snapshot) => snapshot.items.iter().map(size).sum(),
             StoreUpdate::Changes(changes) => {
                 let written = changes.iter().filter_map(ItemChange::item);
                 written.map(size).sum()
@@ -40,20 +44,21 @@
     }
 }
 
-/// What the holder knows, for those who wait for news.
+/// Part of the cache's contents whose changes wake waiting queries.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-struct Standing {
+struct CacheStatus {
     revision: u64,
+    /// Whether this router can currently read the store.
     is_current: bool,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct Contents {
     revision: u64,
     items: BTreeMap<Arc<str>, Item>,
     deletions: VecDeque<Deletion>,
-    /// Deletions up to this revision may be forgotten.
-    forgotten: u64,
+    /// Deletions up to this revision may be missing from `deletions`.
+    discarded_up_to: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -62,69 +67,72 @@
     revision: u64,
 }
 
-/// Items that this router holds.
+/// The store's items as this router last read them, from the store or through another router.
 #[derive(Debug, Default)]
 pub struct StoreCache {
-    state: Mutex<State>,
-    standing: watch::Sender<Standing>,
+    contents: Mutex<Contents>,
+    status: watch::Sender<CacheStatus>,
 }
 
 impl StoreCache {
-    /// Returns the revision up to which every change is known.
+    /// Returns the revision of the store up to which every change has been applied.
     pub fn revision(&self) -> u64 {
         self.lock().revision
     }
 
-    /// Tells whether this router can read the store at the moment.
+    /// Returns whether this router can currently read the store.
     pub fn is_current(&self) -> bool {
-        self.standing.borrow().is_current
+        self.status.borrow().is_current
     }
 
-    /// Notes whether this router can read the store.
+    /// Records whether this router can currently read the store.
     pub(super) fn set_current(&self, is_current: bool) {
-        self.standing.send_if_modified(|standing| {
-            std::mem::replace(&mut standing.is_current, is_current) != is_current
+        self.status.send_if_modified(|status| {
+            std::mem::replace(&mut status.is_current, is_current) != is_current
         });
     }
 
-    /// Waits until something newer than a revision is known, the store cannot be read, or a time
-    /// has passed.
-    pub async fn wait(&self, known: u64, time: Duration) {
-        let mut standing = self.standing.subscribe();
+    /// Waits until a revision newer than `known_revision` has been applied or the store cannot be
+    /// read, but no longer than `timeout`.
+    pub async fn wait_for_update(&self, known_revision: u64, timeout: Duration) {
+        let mut status = self.status.subscribe();
         let changed =
-            standing.wait_for(|standing| standing.revision > known || !standing.is_current);
-        // The sender lives in `self`; a timeout is an answer, too.
-        let _ = tokio::time::timeout(time, changed).await;
+            status.wait_for(|status| status.revision > known_revision || !status.is_current);
+        // The channel cannot close, as `self` owns its sender. A timeout is no error: the caller
+        // then responds with what is known.
+        let _ = tokio::time::timeout(timeout, changed).await;
     }
 
-    /// Returns what is newer than a revision, where it is not larger than a size.
+    /// Returns what is newer than `known_revision`, or [`StoreUpdate::TooLarge`] if its keys and
+    /// values take more than `largest_bytes`.
     ///
-    /// Large news would take the link of this VM from its callers.
+    /// Large updates to many routers would use up the network link of this VM, which its callers
+    /// need.
     ///
     /// ```
     /// use teaselworks::discovery::{StoreCache, StoreUpdate};
     ///
-    /// assert_eq!(StoreCache::default().news_after(0, None), StoreUpdate::Nothing);
+    /// assert_eq!(StoreCache::default().update_after(0, None), StoreUpdate::Nothing);
     /// ```
-    pub fn news_after(&self, known: u64, largest_bytes: Option<usize>) -> StoreUpdate {
-        let news = self.all_after(known);
-        let is_too_large = largest_bytes.is_some_and(|largest| news.size_bytes() > largest);
-        if is_too_large { StoreUpdate::TooLarge } else { news }
+    pub fn update_after(&self, known_revision: u64, largest_bytes: Option<usize>) -> StoreUpdate {
+        let update = self.unlimited_update_after(known_revision);
+        let is_too_large = largest_bytes.is_some_and(|largest| update.size_bytes() > largest);
+        if is_too_large { StoreUpdate::TooLarge } else { update }
     }
 
-    fn all_after(&self, known: u64) -> StoreUpdate {
-        let state = self.lock();
-        if state.revision <= known {
+    fn unlimited_update_after(&self, known_revision: u64) -> StoreUpdate {
+        let contents = self.lock();
+        if contents.revision <= known_revision {
             return StoreUpdate::Nothing;
         }
-        if known < state.forgotten {
-            let items = state.items.values().cloned().collect();
-            return StoreUpdate::Whole(Snapshot { revision: state.revision, items });
+        if known_revision < contents.discarded_up_to {
+            let items = contents.items.values().cloned().collect();
+            return StoreUpdate::Snapshot(Snapshot { revision: contents.revision, items });
         }
-        let written = state.items.values().filter(|item| item.revision > known);
+        let written = contents.items.values().filter(|item| item.revision > known_revision);
         let mut changes: Vec<ItemChange> = written.cloned().map(ItemChange::Written).collect();
-        for Deletion { key, revision } in &state.deletions {
-            if *revision > known {
+        for Deletion { key, revision } in &contents.deletions {
+            if *revision > known_revision {
                 changes.push(ItemChange::Deleted { key: key.clone(), revision: *revision });
             }
         }
@@ -132,44 +140,47 @@
         StoreUpdate::Changes(changes)
     }
 
-    /// Replaces everything.
+    /// Replaces all items with those of a snapshot.
     pub(super) fn replace(&self, snapshot: &Snapshot) {
-        let mut state = self.lock();
-        state.revision = snapshot.revision;
-        state.items = snapshot.items.iter().map(|item| (item.key.clone(), item.clone())).collect();
-        state.deletions.clear();
-        state.forgotten = snapshot.revision;
-        self.tell(&state);
+        let mut contents = self.lock();
+        contents.revision = snapshot.revision;
+        contents.items =
+            snapshot.items.iter().map(|item| (item.key.clone(), item.clone())).collect();
+        contents.deletions.clear();
+        contents.discarded_up_to = snapshot.revision;
+        self.notify_waiters(&contents);
     }
 
-    /// Applies a change; false where it was known already.
+    /// Applies a change. Returns `false` if it was already known.
     ///
-    /// Changes between the first and the last page of a snapshot come once more by the watch.
+    /// A snapshot is read in pages and has the revision of the first one. Changes made before its
+    /// last page is read can be part of it and are returned again by the next watch.
     pub(super) fn apply(&self, change: &ItemChange) -> bool {
-        let mut state = self.lock();
+        let mut contents = self.lock();
         let revision = change.revision();
-        state.revision = state.revision.max(revision);
+        contents.revision = contents.revision.max(revision);
         let is_new = match change {
-            ItemChange::Written(item) => state.write(item),
-            ItemChange::Deleted { key, .. } => state.delete(key, revision),
+            ItemChange::Written(item) => contents.write(item),
+            ItemChange::Deleted { key, .. } => contents.delete(key, revision),
         };
-        self.tell(&state);
+        self.notify_waiters(&contents);
         is_new
     }
 
-    fn tell(&self, state: &State) {
-        let revision = state.revision;
-        self.standing.send_if_modified(|standing| {
-            std::mem::replace(&mut standing.revision, revision) != revision
+    fn notify_waiters(&self, contents: &Contents) {
+        let revision = contents.revision;
+        self.status.send_if_modified(|status| {
+            std::mem::replace(&mut status.revision, revision) != revision
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("the lock is never poisoned")
+    fn lock(&self) -> MutexGuard<'_, Contents> {
+        self.contents.lock().expect("store cache lock is never poisoned")
     }
 }
 
-impl State {
+impl Contents {
+    /// Stores a written item. Returns `false` if the same or a newer revision of it is known.
     fn write(&mut self, item: &Item) -> bool {
         let known = self.items.get(&item.key).map(|known| known.revision);
         if known.is_some_and(|known| known >= item.revision) {
@@ -179,6 +190,7 @@
         true
     }
 
+    /// Removes a deleted item. Returns `false` if it is not known or was written again later.
     fn delete(&mut self, key: &Arc<str>, revision: u64) -> bool {
         let known = self.items.get(key).map(|known| known.revision);
         if known.is_none_or(|known| known > revision) {
@@ -186,9 +198,10 @@
         }
         self.items.remove(key);
         self.deletions.push_back(Deletion { key: key.clone(), revision });
-        if self.deletions.len() > DELETIONS {
-            let forgotten = self.deletions.pop_front();
-            self.forgotten = forgotten.map_or(self.forgotten, |deletion| deletion.revision);
+        if self.deletions.len() > MAX_DELETIONS {
+            let discarded = self.deletions.pop_front();
+            self.discarded_up_to =
+                discarded.map_or(self.discarded_up_to, |deletion| deletion.revision);
         }
         true
     }
--- a/teaselworks/src/discovery/fallback.rs
+++ b/teaselworks/src/discovery/fallback.rs
@@ -1,4 +1,4 @@
-//! Asks other routers what the store would say, while it does not answer this one.
+//! Queries other routers for the store's content while the store does not answer this router.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,50 +11,52 @@
 use super::{Source, StateUpdater};
 use crate::event;
 use crate::peers::message::PackedObservations;
-use crate::peers::{Peer, PeerQuery};
+use crate::peers::{PeerClient, PeerQuery};
 use crate::relay::Shared;
 
-/// Routers asked in one round; one of them may be turned away by the store as well.
-const ASKED: usize = 2;
+/// Number of routers queried in one round: the store may not answer one of them either.
+const PEERS_PER_ROUND: usize = 2;
 
-/// Asks other routers.
+/// Queries other routers while the store does not answer this one.
 pub struct PeerFallback {
     shared: Arc<Shared>,
     random: Pcg32,
 }
 
 impl PeerFallback {
-    /// Makes a fallback; `seed` sets whom it asks.
+    /// Creates a fallback; `seed` determines the random choice of routers.
     pub fn new(shared: Arc<Shared>, seed: u64) -> Self {
         Self { shared, random: Pcg32::seed_from_u64(seed) }
     }
 
-    /// Asks a few routers, and learns from the first that knows something newer.
+    /// Queries up to [`PEERS_PER_ROUND`] random routers one after the other and applies the first
+    /// update that is newer than what this router knows.
     ///
-    /// The store may turn this router away and serve the others.
-    pub async fn ask(&mut self, updater: &StateUpdater) {
+    /// The store may be unreachable from this router only, or refuse its calls and serve others.
+    pub async fn query_peers(&mut self, updater: &StateUpdater) {
         let addresses = self.shared.fleet().membership.addresses();
-        let asked: Vec<SocketAddr> = addresses.sample(&mut self.random, ASKED).copied().collect();
-        for address in asked {
+        let chosen: Vec<SocketAddr> =
+            addresses.sample(&mut self.random, PEERS_PER_ROUND).copied().collect();
+        for address in chosen {
             let known = updater.revision();
-            let question = PeerQuery {
+            let query = PeerQuery {
                 known_revision: known,
                 wait: Duration::ZERO,
                 largest_bytes: None,
                 observations: PackedObservations::default(),
             };
-            let answer = match Peer::new(address).ask(question).await {
-                Ok(answer) => answer,
+            let response = match PeerClient::new(address).query(query).await {
+                Ok(response) => response,
                 Err(error) => {
                     let fields = [event::text("address", &address), event::text("cause", &error)];
                     event::PEER_FAILED.log(&fields);
                     continue;
                 }
             };
-            if answer.reads_store {
+            if response.reads_store {
                 updater.on_read_elsewhere();
             }
-            if updater.on_news(&answer.update, Source::Peer(address)) {
+            if updater.apply_update(&response.update, Source::Peer(address)) {
                 return;
             }
         }
--- a/teaselworks/src/discovery/mod.rs
+++ b/teaselworks/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! What a router believes about configuration, upstreams and other routers, and how it learns it.
+//! Keeps the router's view of the configuration, the upstreams and the other routers up to date
+//! with the platform's store, and registers this router there.
 
 mod cache;
 mod fallback;
--- a/teaselworks/src/discovery/registrar.rs
+++ b/teaselworks/src/discovery/registrar.rs
@@ -1,4 +1,5 @@
-//! Keeps this router listed in the store, so that others count it and can ask it.
+//! Task that keeps this router registered in the store, so that other routers count it and can
+//! query it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,42 +8,43 @@
 use crate::kernel::{Shutdown, ShutdownPhase};
 use crate::platform::{Lease, Store, StoreError, registration, registration_key};
 
-/// Time for which the registration outlasts its router. Others count a router that was killed for
-/// that long, which only makes their parts of the retry budget smaller.
+/// Time after which the registration of a router that was killed expires. Until then the other
+/// routers still count it, which only makes their shares of the retry budget smaller.
 const LEASE_TIME: Duration = Duration::from_secs(9);
-/// Renewals in the time of a lease: two may fail in a row.
-const RENEWALS: u32 = 3;
-/// Pause after a call that failed.
+/// Number of renewals within the time of a lease; the lease survives two failed ones in a row.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Task that registers the router.
+/// Task that registers this router under a lease and renews the lease.
 pub struct Registrar {
     store: Store,
     key: String,
-    peers: SocketAddr,
+    peer_address: SocketAddr,
     lease_time: Duration,
     shutdown: Shutdown,
 }
 
 impl Registrar {
-    /// Makes the task of a router that others can ask at `peers`.
+    /// Creates the task of a router that others can query at `peer_address`. The lease is not
+    /// shorter than `min_lease_time`.
     pub fn new(
         store: Store,
         name: &str,
-        peers: SocketAddr,
-        shortest_lease: Duration,
+        peer_address: SocketAddr,
+        min_lease_time: Duration,
         shutdown: Shutdown,
     ) -> Self {
-        let lease_time = LEASE_TIME.max(shortest_lease);
-        Self { store, key: registration_key(name), peers, lease_time, shutdown }
+        let lease_time = LEASE_TIME.max(min_lease_time);
+        Self { store, key: registration_key(name), peer_address, lease_time, shutdown }
     }
 
-    /// Keeps the router registered until a planned stop begins.
+    /// Keeps the router registered until a planned stop begins, and then ends the registration.
     pub async fn run(mut self) {
         let mut lease = None;
         while self.shutdown.phase() == ShutdownPhase::Running {
-            let pause = match self.step(&mut lease).await {
-                Ok(()) => self.lease_time / RENEWALS,
+            let pause = match self.renew_or_register(&mut lease).await {
+                Ok(()) => self.lease_time / RENEWALS_PER_LEASE,
                 Err(error) => {
                     event::REGISTRATION_LOST.log(&[event::text("cause", &error)]);
                     RETRY_PAUSE
@@ -54,25 +56,26 @@
             }
         }
         if let Some(lease) = lease {
-            // It ends by itself otherwise.
+            // If this call fails, the lease expires by itself.
             let _ = self.store.end(lease).await;
         }
     }
 
-    async fn step(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
-        if let Some(held) = *lease {
-            if self.store.renew(held).await? {
+    /// Renews the lease. Without a lease, or if it has ended, registers the router under a new one.
+    async fn renew_or_register(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
+        if let Some(current) = *lease {
+            if self.store.renew(current).await? {
                 return Ok(());
             }
             *lease = None;
         }
-        let taken = self.store.lease(self.lease_time).await?;
-        let value = registration(self.peers);
-        if self.store.put(&self.key, &value, taken).await? {
-            *lease = Some(taken);
+        let new_lease = self.store.lease(self.lease_time).await?;
+        let value = registration(self.peer_address);
+        if self.store.put(&self.key, &value, new_lease).await? {
+            *lease = Some(new_lease);
             event::REGISTERED.log(&[
                 event::text("key", &self.key),
-                event::number("lease_ms", taken.ttl.as_millis() as u64),
+                event::number("lease_ms", new_lease.ttl.as_millis() as u64),
             ]);
         }
         Ok(())
--- a/teaselworks/src/discovery/updater.rs
+++ b/teaselworks/src/discovery/updater.rs
@@ -1,4 +1,4 @@
-//! Turns items of the store into beliefs, and logs each that changes.
+//! Applies items of the store to the router's state and logs each change.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::platform::{Belief, Item, ItemChange, Snapshot, Subject, decode, subject};
 use crate::relay::Shared;
 
-/// Where news came from.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// The platform's store.
     Store,
-    /// Another router.
+    /// Another router, by its address.
     Peer(SocketAddr),
 }
 
@@ -31,7 +31,8 @@
     }
 }
 
-/// Applies news to what the router believes.
+/// Applies updates to the cache of the store, the configuration in force, the list of upstreams and
+/// the list of routers.
 pub struct StateUpdater {
     shared: Arc<Shared>,
     cache: Arc<StoreCache>,
@@ -39,60 +40,63 @@
 }
 
 impl StateUpdater {
-    /// Makes a updater that knows nothing yet.
+    /// Creates an updater for state to which nothing has been applied yet.
     pub fn new(shared: Arc<Shared>, cache: Arc<StoreCache>) -> Self {
         Self { shared, cache, registry: Mutex::default() }
     }
 
-    /// Returns the revision up to which every change is known.
+    /// Returns the revision of the store up to which every change has been applied.
     pub fn revision(&self) -> u64 {
         self.cache.revision()
     }
 
-    /// Returns the time by the steady clock.
+    /// Returns the time of the router's monotonic clock.
     pub fn now(&self) -> Duration {
         self.shared.now()
     }
 
-    /// Returns the router that reads the store for this one, if another does.
-    pub fn reader(&self) -> Option<SocketAddr> {
+    /// Returns the address of the router that reads the store for this one, or `None` if this
+    /// router reads the store itself.
+    pub fn reader_address(&self) -> Option<SocketAddr> {
         self.shared.fleet().membership.reader()
     }
 
-    /// Returns the pause after a call to a store that does not answer, at most `longest`.
+    /// Returns how long to wait before the next call to a store that does not answer, at most
+    /// `longest` but at least the pause of a small fleet.
     pub fn retry_pause(&self, longest: Duration) -> Duration {
         self.shared.fleet().membership.retry_pause(longest)
     }
 
-    /// Returns what this router itself heard of upstreams after a time.
-    pub fn own_sightings_after(&self, after: Duration) -> SharedObservations {
+    /// Returns this router's own observations of upstreams that are newer than `after`.
+    pub fn own_observations_after(&self, after: Duration) -> SharedObservations {
         self.shared.fleet().sightings_after(self.shared.now(), after, true)
     }
 
-    /// Takes what other routers heard of upstreams.
-    pub fn on_sightings(&self, observations: &SharedObservations) {
+    /// Applies observations of upstreams by other routers.
+    pub fn apply_observations(&self, observations: &SharedObservations) {
         self.shared.hear(observations);
     }
 
-    /// Notes that the store cannot be read.
+    /// Records that this router cannot read the store.
     pub fn on_lost(&self) {
         self.cache.set_current(false);
         self.registry().on_lost(self.shared.now());
     }
 
-    /// Notes that other routers can read the store.
+    /// Records that another router can read the store. There is no outage of the store then, so
+    /// upstreams whose entries disappear get no grace period.
     pub fn on_read_elsewhere(&self) {
         self.registry().on_read_elsewhere();
     }
 
-    /// Notes that the store can be read, for the first time or again.
+    /// Records that this router can read the store, for the first time or again.
     pub fn on_regained(&self) {
         self.cache.set_current(true);
         self.registry().on_regained(self.shared.now());
     }
 
-    /// Applies everything that was read at once.
-    pub fn on_snapshot(&self, snapshot: &Snapshot, source: Source) {
+    /// Replaces the state with all items of a snapshot.
+    pub fn apply_snapshot(&self, snapshot: &Snapshot, source: Source) {
         self.cache.replace(snapshot);
         let now = self.shared.now();
         let mut upstreams = Vec::new();
@@ -100,7 +104,7 @@
         for item in &snapshot.items {
             match self.decode(item) {
                 Ok(Belief::Configuration(configuration)) => {
-                    self.on_configuration(*configuration, item.revision, source);
+                    self.apply_configuration(*configuration, item.revision, source);
                 }
                 Ok(Belief::Upstream(upstream)) => upstreams.push(ListEntry::Upstream(upstream)),
                 Ok(Belief::Router(name, address)) => routers.push((name, address)),
@@ -110,21 +114,21 @@
             }
         }
         let changes = self.registry().replace(now, upstreams);
-        self.on_upstreams(&changes, snapshot.revision, source);
+        self.apply_upstream_changes(&changes, snapshot.revision, source);
         let lost = self.shared.fleet().membership.replace(now, routers);
         for name in lost {
             event::PEER_LOST.log(&[event::text("router", &name)]);
         }
     }
 
-    /// Applies what another router knows; false where it is nothing new.
-    pub fn on_news(&self, news: &StoreUpdate, source: Source) -> bool {
+    /// Applies an update from another router. Returns `false` if it holds nothing new.
+    pub fn apply_update(&self, update: &StoreUpdate, source: Source) -> bool {
         let known = self.revision();
-        match news {
+        match update {
             StoreUpdate::Nothing | StoreUpdate::TooLarge => return false,
-            StoreUpdate::Changes(changes) => self.on_changes(changes, source),
-            StoreUpdate::Whole(snapshot) if snapshot.revision <= known => return false,
-            StoreUpdate::Whole(snapshot) => self.on_snapshot(snapshot, source),
+            StoreUpdate::Changes(changes) => self.apply_changes(changes, source),
+            StoreUpdate::Snapshot(snapshot) if snapshot.revision <= known => return false,
+            StoreUpdate::Snapshot(snapshot) => self.apply_snapshot(snapshot, source),
         }
         event::PEER_ANSWERED.log(&[
             event::text("source", &source),
@@ -134,36 +138,37 @@
         true
     }
 
-    /// Applies changes in order.
-    pub fn on_changes(&self, changes: &[ItemChange], source: Source) {
+    /// Applies changes in order and skips those already known.
+    pub fn apply_changes(&self, changes: &[ItemChange], source: Source) {
         for change in changes {
             if !self.cache.apply(change) {
                 continue;
             }
             match change {
-                ItemChange::Written(item) => self.on_written(item, source),
-                ItemChange::Deleted { key, revision } => self.on_deleted(key, *revision, source),
+                ItemChange::Written(item) => self.apply_written(item, source),
+                ItemChange::Deleted { key, revision } => self.apply_deleted(key, *revision, source),
             }
         }
     }
 
-    /// Drops what has been missing for too long.
+    /// Removes upstreams whose entries are still missing at the end of the grace period that
+    /// follows an outage of the store.
     pub fn expire(&self) {
         if !self.registry().has_missing_entries() {
             return;
         }
         let changes = self.registry().expire(self.shared.now());
-        self.on_upstreams(&changes, self.cache.revision(), Source::Store);
+        self.apply_upstream_changes(&changes, self.cache.revision(), Source::Store);
     }
 
-    fn on_written(&self, item: &Item, source: Source) {
+    fn apply_written(&self, item: &Item, source: Source) {
         match self.decode(item) {
             Ok(Belief::Configuration(configuration)) => {
-                self.on_configuration(*configuration, item.revision, source);
+                self.apply_configuration(*configuration, item.revision, source);
             }
             Ok(Belief::Upstream(upstream)) => {
                 let change = self.registry().put(upstream);
-                self.on_upstreams(change.as_slice(), item.revision, source);
+                self.apply_upstream_changes(change.as_slice(), item.revision, source);
             }
             Ok(Belief::Router(name, address)) => {
                 let is_new = self.shared.fleet().membership.put(name.clone(), address);
@@ -174,39 +179,40 @@
             }
             Err(Subject::Upstream(id)) => {
                 let change = self.registry().suspend(id);
-                self.on_upstreams(change.as_slice(), item.revision, source);
+                self.apply_upstream_changes(change.as_slice(), item.revision, source);
             }
-            Err(Subject::Router(name)) => self.on_router_lost(name),
+            Err(Subject::Router(name)) => self.remove_router(name),
             Ok(Belief::Other) | Err(Subject::Configuration | Subject::Other) => {}
         }
     }
 
-    fn on_deleted(&self, key: &str, revision: u64, source: Source) {
+    fn apply_deleted(&self, key: &str, revision: u64, source: Source) {
         let now = self.shared.now();
         match subject(key) {
             Subject::Upstream(id) => {
                 let change = self.registry().remove(now, id);
-                self.on_upstreams(change.as_slice(), revision, source);
+                self.apply_upstream_changes(change.as_slice(), revision, source);
             }
-            Subject::Router(name) => self.on_router_lost(name),
+            Subject::Router(name) => self.remove_router(name),
             Subject::Configuration | Subject::Other => {}
         }
     }
 
-    fn on_router_lost(&self, name: &str) {
+    fn remove_router(&self, name: &str) {
         let now = self.shared.now();
         if self.shared.fleet().membership.remove(now, name) {
             event::PEER_LOST.log(&[event::text("router", &name)]);
         }
     }
 
-    fn on_configuration(&self, configuration: Configuration, revision: u64, source: Source) {
+    fn apply_configuration(&self, configuration: Configuration, revision: u64, source: Source) {
         let version = configuration.version;
         let routes = configuration.routes.len() as u64;
         let in_force =
             self.shared.fleet().configuration().map(|configuration| configuration.version);
         let is_newer = self.shared.set_configuration(configuration);
         if !is_newer && in_force == Some(version) {
+            // The version in force was read again, which is not worth a log line.
             return;
         }
         let event =
@@ -219,7 +225,7 @@
         ]);
     }
 
-    fn on_upstreams(&self, changes: &[Change], revision: u64, source: Source) {
+    fn apply_upstream_changes(&self, changes: &[Change], revision: u64, source: Source) {
         for change in changes {
             self.shared.fleet().apply(change);
             let (event, id) = match change {
@@ -246,7 +252,8 @@
         }
     }
 
-    /// Decodes an item; where it cannot be understood, returns what its key is about.
+    /// Decodes an item. If its value cannot be decoded, logs that and returns the subject of its
+    /// key.
     fn decode<'a>(&self, item: &'a Item) -> Result<Belief, Subject<'a>> {
         decode(item).map_err(|error| {
             event::VALUE_UNREADABLE.log(&[
@@ -259,6 +266,6 @@
     }
 
     fn registry(&self) -> MutexGuard<'_, Registry> {
-        self.registry.lock().expect("the lock is never poisoned")
+        self.registry.lock().expect("upstream registry lock is never poisoned")
     }
 }
--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! Follows the store: reads everything once, then waits for changes, at the store or at a router
-//! that reads it for others.
+//! Task that reads all items of the store once and then waits for changes, at the store or at a
+//! router that reads the store for others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,199 +8,224 @@
 use crate::event;
 use crate::metrics::{Metrics, StoreOutcome};
 use crate::peers::message::PackedObservations;
-use crate::peers::{Peer, PeerQuery};
+use crate::peers::{PeerClient, PeerQuery};
 use crate::platform::{Store, StoreError, Watched};
 
-/// Part of the bound on the age of news for which one look waits for changes. A look that hears
-/// nothing since the other end is cut off, and one at the store after it, both end within the bound.
-const WAIT_SHARE: f64 = 0.5;
-/// The same for a question to a router that reads the store for this one: it tells loads, too, which
-/// are worth less the older they are.
-const ASKING_SHARE: f64 = 0.15;
-/// Part of the bound for which changes are collected after a look that brought some: changes come in
-/// series, and each look is priced.
-const COLLECTING_SHARE: f64 = 0.15;
-/// Largest news that a router takes from another one, which sends them to many at once.
-const NEWS_SIZE_MAX_BYTES: usize = 24 << 10;
-/// Time for which a router reads the store itself after the one that reads for it failed.
-const OWN_READING: Duration = Duration::from_secs(5);
-/// Time between questions to other routers while the store does not answer.
-const ASK_PAUSE: Duration = Duration::from_millis(300);
+/// Share of `max_staleness` for which one watch waits for changes. A watch that receives nothing
+/// because its connection is cut off, and the call to the store after it, must both end within
+/// `max_staleness`.
+const WATCH_WAIT_SHARE: f64 = 0.5;
+/// Share of `max_staleness` for which a query to the reader waits for changes. It is smaller than
+/// that of a watch because responses also carry loads of upstreams, which lose value with age.
+const READER_WAIT_SHARE: f64 = 0.15;
+/// Share of `max_staleness` for which the router pauses after a watch that returned changes.
+/// Changes come in series and each call to the store has a price, so one watch should return many
+/// of them.
+const BATCH_SHARE: f64 = 0.15;
+/// Largest update that a router accepts from its reader, which sends updates to many routers at
+/// once.
+const MAX_UPDATE_BYTES: usize = 24 << 10;
+/// Time for which a router reads the store itself after its reader failed.
+const DIRECT_READ_TIME: Duration = Duration::from_secs(5);
+/// Time between queries to other routers while the store does not answer.
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Whether the store answers this router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Contact {
-    /// Nothing was asked yet.
-    Untried,
-    /// The last call was answered.
-    Answered,
-    /// The last call failed.
+enum StoreStatus {
+    /// The store has not been called yet, or must be called again before the reader is queried.
+    Unknown,
+    /// The store answered the last call.
+    Answering,
+    /// The last call to the store failed.
     Lost,
 }
 
-/// Task that keeps the beliefs up to date.
+/// Task that keeps the router's state up to date with the store.
+///
+/// In a small fleet every router watches the store. In a large one a few routers do, the readers;
+/// each other router queries its reader and calls the store only if the reader fails or an update
+/// is too large.
 pub struct StoreWatcher {
     store: Store,
     updater: Arc<StateUpdater>,
     fallback: PeerFallback,
     metrics: Arc<Metrics>,
-    news_age: Duration,
-    contact: Contact,
-    /// The router that reads the store for this one.
-    reader: Option<Peer>,
-    /// Until when this router reads the store itself.
-    reads_until: Duration,
-    /// When it last told the other one the loads that it heard.
-    told_at: Duration,
+    max_staleness: Duration,
+    store_status: StoreStatus,
+    /// Client for the router that reads the store for this one.
+    reader: Option<PeerClient>,
+    /// Time until which this router reads the store itself.
+    reads_directly_until: Duration,
+    /// When this router last sent its own observations of upstreams to the reader.
+    observations_sent_at: Duration,
 }
 
 impl StoreWatcher {
-    /// Makes the task; news may be as old as `news_age`.
+    /// Creates the task. `max_staleness` limits how far the router's state may lag behind the
+    /// store.
     pub fn new(
         store: Store,
         updater: Arc<StateUpdater>,
         fallback: PeerFallback,
         metrics: Arc<Metrics>,
-        news_age: Duration,
+        max_staleness: Duration,
     ) -> Self {
         Self {
             store,
             updater,
             fallback,
             metrics,
-            news_age,
-            contact: Contact::Untried,
+            max_staleness,
+            store_status: StoreStatus::Unknown,
             reader: None,
-            reads_until: Duration::ZERO,
-            told_at: Duration::ZERO,
+            reads_directly_until: Duration::ZERO,
+            observations_sent_at: Duration::ZERO,
         }
     }
 
-    /// Follows the store until the process ends.
+    /// Runs until the process ends.
     pub async fn run(mut self) {
         let mut needs_snapshot = true;
         loop {
-            if !needs_snapshot && self.choose_reader() {
-                self.ask_reader().await;
+            if !needs_snapshot && self.select_reader() {
+                self.query_reader().await;
                 continue;
             }
-            let looked = if needs_snapshot { self.read().await } else { self.watch().await };
-            match looked {
+            let result = if needs_snapshot {
+                self.read_snapshot().await
+            } else {
+                self.watch_changes().await
+            };
+            match result {
                 Ok(is_complete) => needs_snapshot = !is_complete,
-                Err(error) => self.on_failure(&error).await,
+                Err(error) => self.on_store_failed(&error).await,
             }
         }
     }
 
-    /// Reads everything.
-    async fn read(&mut self) -> Result<bool, StoreError> {
+    /// Reads all items and applies them. Returns `true`, as nothing has to be read again.
+    async fn read_snapshot(&mut self) -> Result<bool, StoreError> {
         let snapshot = self.store.snapshot().await?;
-        self.on_answer();
-        self.updater.on_snapshot(&snapshot, Source::Store);
+        self.on_store_answered();
+        self.updater.apply_snapshot(&snapshot, Source::Store);
         Ok(true)
     }
 
-    /// Waits for changes; false where everything must be read again.
-    async fn watch(&mut self) -> Result<bool, StoreError> {
-        // While the store does not answer, a look that waits would only find that out later.
-        let is_lost = self.contact != Contact::Answered;
-        let wait = if is_lost { Duration::ZERO } else { self.news_age.mul_f64(WAIT_SHARE) };
+    /// Waits for changes at the store and applies them. Returns `false` if the store no longer
+    /// holds all changes since the last read, so that all items must be read again.
+    async fn watch_changes(&mut self) -> Result<bool, StoreError> {
+        // Unless the store answered the last call, the watch does not wait for changes: that would
+        // only delay its answer, which shows whether the store can be read.
+        let is_unconfirmed = self.store_status != StoreStatus::Answering;
+        let wait = if is_unconfirmed {
+            Duration::ZERO
+        } else {
+            self.max_staleness.mul_f64(WATCH_WAIT_SHARE)
+        };
         let after = self.updater.revision();
         match self.store.watch(after, wait).await? {
             Watched::Changes(changes) => {
-                self.on_answer();
-                self.updater.on_changes(&changes, Source::Store);
+                self.on_store_answered();
+                self.updater.apply_changes(&changes, Source::Store);
                 if !changes.is_empty() {
-                    tokio::time::sleep(self.news_age.mul_f64(COLLECTING_SHARE)).await;
+                    tokio::time::sleep(self.max_staleness.mul_f64(BATCH_SHARE)).await;
                 }
                 Ok(true)
             }
             Watched::Compacted => {
-                self.on_answer();
+                self.on_store_answered();
                 event::HISTORY_LOST.log(&[event::number("after", after)]);
                 Ok(false)
             }
         }
     }
 
-    /// Tells whether another router reads the store for this one at the moment.
-    fn choose_reader(&mut self) -> bool {
-        if self.contact != Contact::Answered || self.updater.now() < self.reads_until {
+    /// Selects the reader of this router. Returns `false` if this router must call the store
+    /// itself.
+    fn select_reader(&mut self) -> bool {
+        if self.store_status != StoreStatus::Answering
+            || self.updater.now() < self.reads_directly_until
+        {
             return false;
         }
-        let Some(address) = self.updater.reader() else {
+        let Some(address) = self.updater.reader_address() else {
             self.reader = None;
             return false;
         };
         if self.reader.as_ref().is_none_or(|reader| reader.address() != address) {
-            self.reader = Some(Peer::new(address));
+            self.reader = Some(PeerClient::new(address));
         }
         true
     }
 
-    /// Waits for changes at the router that reads the store for this one.
+    /// Waits for changes at the reader and applies them.
     ///
-    /// Where it fails, or cannot read the store itself, this router looks at the store at once.
-    async fn ask_reader(&mut self) {
+    /// If the reader fails or cannot read the store, this router calls the store at once and reads
+    /// it itself for [`DIRECT_READ_TIME`].
+    async fn query_reader(&mut self) {
         let Some(reader) = &mut self.reader else { return };
-        let wait = self.news_age.mul_f64(ASKING_SHARE);
-        let told_at = std::mem::replace(&mut self.told_at, self.updater.now());
+        let wait = self.max_staleness.mul_f64(READER_WAIT_SHARE);
+        let last_sent_at = std::mem::replace(&mut self.observations_sent_at, self.updater.now());
         let address = reader.address();
-        let question = PeerQuery {
+        let query = PeerQuery {
             known_revision: self.updater.revision(),
             wait,
-            largest_bytes: Some(NEWS_SIZE_MAX_BYTES),
-            observations: PackedObservations::pack(&self.updater.own_sightings_after(told_at)),
+            largest_bytes: Some(MAX_UPDATE_BYTES),
+            observations: PackedObservations::pack(
+                &self.updater.own_observations_after(last_sent_at),
+            ),
         };
-        let cause = match reader.ask(question).await {
-            Ok(answer) if answer.update == StoreUpdate::TooLarge => {
-                self.updater.on_sightings(&answer.observations.unpack());
-                // One look at the store, after which the reader is asked again.
-                self.contact = Contact::Untried;
+        let cause = match reader.query(query).await {
+            Ok(response) if response.update == StoreUpdate::TooLarge => {
+                self.updater.apply_observations(&response.observations.unpack());
+                // The store is watched once; after that the reader is queried again.
+                self.store_status = StoreStatus::Unknown;
                 return;
             }
-            Ok(answer) if answer.reads_store => {
-                self.updater.on_sightings(&answer.observations.unpack());
-                self.updater.on_news(&answer.update, Source::Peer(address));
+            Ok(response) if response.reads_store => {
+                self.updater.apply_observations(&response.observations.unpack());
+                self.updater.apply_update(&response.update, Source::Peer(address));
                 return;
             }
-            Ok(_) => "it cannot read the store".to_owned(),
+            Ok(_) => "the reader cannot read the store".to_owned(),
             Err(error) => error.to_string(),
         };
         event::PEER_FAILED.log(&[event::text("address", &address), event::text("cause", &cause)]);
-        self.reads_until = self.updater.now() + OWN_READING;
+        self.reads_directly_until = self.updater.now() + DIRECT_READ_TIME;
         self.reader = None;
-        self.contact = Contact::Untried;
+        self.store_status = StoreStatus::Unknown;
     }
 
-    fn on_answer(&mut self) {
+    fn on_store_answered(&mut self) {
         self.metrics.add_store_call(StoreOutcome::Answered);
-        let before = std::mem::replace(&mut self.contact, Contact::Answered);
-        if before == Contact::Answered {
+        let before = std::mem::replace(&mut self.store_status, StoreStatus::Answering);
+        if before == StoreStatus::Answering {
             return;
         }
         self.updater.on_regained();
-        if before == Contact::Lost {
+        if before == StoreStatus::Lost {
             event::STORE_REGAINED.log(&[event::number("revision", self.updater.revision())]);
         }
     }
 
-    async fn on_failure(&mut self, error: &StoreError) {
+    async fn on_store_failed(&mut self, error: &StoreError) {
         self.metrics.add_store_call(StoreOutcome::Failed);
-        if std::mem::replace(&mut self.contact, Contact::Lost) != Contact::Lost {
+        if std::mem::replace(&mut self.store_status, StoreStatus::Lost) != StoreStatus::Lost {
             self.updater.on_lost();
             event::STORE_LOST.log(&[
                 event::text("cause", error),
                 event::number("revision", self.updater.revision()),
             ]);
         }
-        let until = self.updater.now() + self.updater.retry_pause(self.news_age);
-        // Other routers are asked as often as ever: what they say costs the store nothing.
+        let until = self.updater.now() + self.updater.retry_pause(self.max_staleness);
+        // The pause before the next call to the store grows with the fleet. Other routers are still
+        // queried at short intervals, as that puts no load on the store.
         loop {
-            self.fallback.ask(&self.updater).await;
-            let left = until.saturating_sub(self.updater.now());
-            tokio::time::sleep(left.min(ASK_PAUSE)).await;
-            if left <= ASK_PAUSE {
+            self.fallback.query_peers(&self.updater).await;
+            let remaining = until.saturating_sub(self.updater.now());
+            tokio::time::sleep(remaining.min(PEER_QUERY_INTERVAL)).await;
+            if remaining <= PEER_QUERY_INTERVAL {
                 return;
             }
         }
--- a/teaselworks/src/peers/client.rs
+++ b/teaselworks/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Asks another router.
+//! Client that queries another router over a WebSocket.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,58 +12,60 @@
 use super::{PeerError, PeerQuery, PeerResponse};
 use crate::net;
 
-/// Time that an answer may take besides what it was asked to wait: it comes from memory.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for a response in addition to the wait that the query asks for, and for opening a
+/// WebSocket. The other router responds from memory.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Another router, with the connection that it was last asked on.
+/// Client of another router, with the connection of the last query.
 #[derive(Debug)]
-pub struct Peer {
+pub struct PeerClient {
     address: SocketAddr,
     socket: Option<WebSocketStream<TcpStream>>,
 }
 
-impl Peer {
-    /// Makes a client; nothing is opened yet.
+impl PeerClient {
+    /// Creates a client. The connection is opened by the first query.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, socket: None }
     }
 
-    /// Returns the address of the router.
+    /// Returns the address of the other router.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks what the router knows; it may wait for that for a time.
-    pub async fn ask(&mut self, question: PeerQuery) -> Result<PeerResponse, PeerError> {
-        let wait = question.wait;
+    /// Sends a query and waits for the response, on the open connection or on a new one.
+    pub async fn query(&mut self, query: PeerQuery) -> Result<PeerResponse, PeerError> {
+        let wait = query.wait;
         let opened = match self.socket.take() {
             Some(socket) => Ok(socket),
             None => open(self.address).await,
         };
         let mut socket = opened?;
-        let answered =
-            tokio::time::timeout(wait + ANSWER_TIMEOUT, exchange(&mut socket, &question)).await;
-        let answer = answered.unwrap_or(Err(PeerError::Timeout))?;
-        // After a failure the connection is closed: a late answer would be taken for the next.
+        let result =
+            tokio::time::timeout(wait + RESPONSE_TIMEOUT, exchange(&mut socket, &query)).await;
+        let response = result.unwrap_or(Err(PeerError::Timeout))?;
+        // A failure above closes the connection: a late response on it would be taken for the
+        // response to the next query.
         self.socket = Some(socket);
-        Ok(answer)
+        Ok(response)
     }
 }
 
 async fn open(address: SocketAddr) -> Result<WebSocketStream<TcpStream>, PeerError> {
     let stream = net::connect(address).await.map_err(|_| PeerError::Connect)?;
     let handshake = client_async(format!("ws://{address}/"), stream);
-    let opened = tokio::time::timeout(ANSWER_TIMEOUT, handshake).await;
+    let opened = tokio::time::timeout(RESPONSE_TIMEOUT, handshake).await;
     let (socket, _) = opened.map_err(|_| PeerError::Timeout)?.map_err(|_| PeerError::Broken)?;
     Ok(socket)
 }
 
 async fn exchange(
     socket: &mut WebSocketStream<TcpStream>,
-    question: &PeerQuery,
+    query: &PeerQuery,
 ) -> Result<PeerResponse, PeerError> {
-    let question = encode(question)?;
-    socket.send(Message::Binary(question)).await.map_err(|_| PeerError::Broken)?;
+    let encoded = encode(query)?;
+    socket.send(Message::Binary(encoded)).await.map_err(|_| PeerError::Broken)?;
     while let Some(message) = socket.next().await {
         let Message::Binary(bytes) = message.map_err(|_| PeerError::Broken)? else { continue };
         return decode(&bytes);
--- a/teaselworks/src/peers/error.rs
+++ b/teaselworks/src/peers/error.rs
@@ -1,27 +1,27 @@
-//! Why a router could not be asked.
+//! Errors of queries to other routers.
 
 use std::fmt;
 
-/// Why a router could not be asked.
+/// Error of a query to another router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerError {
-    /// No connection could be opened.
+    /// The TCP connection could not be opened.
     Connect,
-    /// The connection broke or was no WebSocket.
+    /// The connection ended early, or the other side did not speak WebSocket.
     Broken,
-    /// The answer was not understood.
+    /// A message could not be encoded or decoded.
     Malformed,
-    /// No answer came in time.
+    /// No message or handshake arrived in time.
     Timeout,
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PeerError::Connect => "cannot connect",
-            PeerError::Broken => "the connection broke",
-            PeerError::Malformed => "answer not understood",
-            PeerError::Timeout => "no answer in time",
+            PeerError::Connect => "cannot connect to the router",
+            PeerError::Broken => "the WebSocket connection to the router failed",
+            PeerError::Malformed => "a message between routers cannot be encoded or decoded",
+            PeerError::Timeout => "no response from the router in time",
         })
     }
 }
--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! Messages between routers, as CBOR in WebSocket frames.
+//! Messages between routers. Each is sent as CBOR in one binary WebSocket message.
 
 use std::time::Duration;
 
@@ -10,47 +10,51 @@
 use super::PeerError;
 use crate::discovery::StoreUpdate;
 
-/// What a router asks.
+/// Query of a router for what changed in the store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PeerQuery {
-    /// Revision of the store up to which it knows everything.
+    /// Revision of the store up to which the querying router has applied every change.
     pub known_revision: u64,
-    /// Longest time for which the answer waits for something newer.
+    /// Longest time for which the response may wait for a newer revision.
     pub wait: Duration,
-    /// Largest answer that it wants; it reads the store where there is more.
+    /// Largest update that the querying router accepts; `None` accepts any. It reads the store
+    /// itself if the update is larger.
     pub largest_bytes: Option<usize>,
-    /// What it heard of upstreams itself since it asked last.
+    /// The querying router's own observations of upstreams since its last query.
     #[serde(default)]
     #[serde(rename = "heard")]
     pub observations: PackedObservations,
 }
 
-/// What the other one answers.
+/// Response of the queried router.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PeerResponse {
-    /// It can read the store.
+    /// Whether the queried router can currently read the store.
     pub reads_store: bool,
-    /// What it knows beyond the revision.
+    /// What is newer than the query's `known_revision`.
     #[serde(rename = "news")]
     pub update: StoreUpdate,
-    /// What it heard of upstreams since it answered last.
+    /// Observations of upstreams that the queried router made or received since its last response
+    /// on this connection.
     #[serde(default)]
     #[serde(rename = "heard")]
     pub observations: PackedObservations,
 }
 
-/// What a router heard of upstreams, in rows of the hash of the incarnation, a number and an age in
-/// milliseconds.
+/// Observations of upstreams in the compact form of the messages. An incarnation is one start of an
+/// upstream.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PackedObservations {
-    /// Requests there.
+    /// Number of requests at each incarnation, and the age of the load report.
     #[serde(default)]
     loads: Vec<Row>,
-    /// Failures since it was last heard of.
+    /// Number of requests to each incarnation that failed since it last responded to any router,
+    /// and the time since the first of them was sent.
     #[serde(default)]
     failures: Vec<Row>,
 }
 
+/// Hash of an incarnation, a number of requests and an age in milliseconds.
 type Row = (u64, u32, u32);
 
 impl PackedObservations {
@@ -67,8 +71,10 @@
     /// assert_eq!(PackedObservations::pack(&observations).unpack(), observations);
     /// ```
     pub fn pack(observations: &SharedObservations) -> Self {
-        let load = |load: &SharedLoad| (load.incarnation, load.total, ms(load.age));
-        let failed = |told: &SharedFailures| (told.incarnation, told.count, ms(told.age));
+        let load = |load: &SharedLoad| (load.incarnation, load.total, age_ms(load.age));
+        let failed = |failures: &SharedFailures| {
+            (failures.incarnation, failures.count, age_ms(failures.age))
+        };
         Self {
             loads: observations.loads.iter().map(load).collect(),
             failures: observations.failures.iter().map(failed).collect(),
@@ -92,11 +98,11 @@
     }
 }
 
-fn ms(age: Duration) -> u32 {
+fn age_ms(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Encodes a message.
+/// Encodes a message. Fails with [`PeerError::Malformed`] if it cannot be serialized.
 ///
 /// ```
 /// use teaselworks::peers::message::{decode, encode};
@@ -110,7 +116,7 @@
     Ok(bytes.into())
 }
 
-/// Decodes a message; fails with [`PeerError::Malformed`] on bytes that are none.
+/// Decodes a message. Fails with [`PeerError::Malformed`] if the bytes cannot be decoded as `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PeerError> {
     ciborium::from_reader(bytes).map_err(|_| PeerError::Malformed)
 }
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answers other routers.
+//! Server that responds to queries of other routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,41 +14,46 @@
 use crate::net;
 use crate::relay::Shared;
 
-/// Longest silence of a router that asks; those that follow the news ask each second.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for which an answer waits for news.
-const WAIT_MAX: Duration = Duration::from_secs(10);
+/// Time without a query after which a connection is closed. Routers that read the store through
+/// this one send a query each second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest time for which a response waits for an update, whatever the query asks for.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Answers routers until the process ends.
+/// Accepts connections of other routers and serves them until the process ends.
 pub async fn serve(listener: TcpListener, cache: Arc<StoreCache>, shared: Arc<Shared>) {
     loop {
         let stream = net::accept(&listener).await;
         let cache = cache.clone();
         let shared = shared.clone();
         tokio::spawn(async move {
-            // The one that asked logs what went wrong.
-            let _ = answer(stream, &cache, &shared).await;
+            // The querying router logs errors of the connection.
+            let _ = serve_connection(stream, &cache, &shared).await;
         });
     }
 }
 
-async fn answer(stream: TcpStream, cache: &StoreCache, shared: &Shared) -> Result<(), PeerError> {
-    let mut told_at = Duration::ZERO;
+async fn serve_connection(
+    stream: TcpStream,
+    cache: &StoreCache,
+    shared: &Shared,
+) -> Result<(), PeerError> {
+    let mut last_sent_at = Duration::ZERO;
     let mut socket = accept_async(stream).await.map_err(|_| PeerError::Broken)?;
     loop {
-        let message = tokio::time::timeout(SILENCE_TIMEOUT, socket.next()).await;
+        let message = tokio::time::timeout(IDLE_TIMEOUT, socket.next()).await;
         let Some(message) = message.map_err(|_| PeerError::Timeout)? else { return Ok(()) };
         let Message::Binary(bytes) = message.map_err(|_| PeerError::Broken)? else { continue };
         let PeerQuery { known_revision, wait, largest_bytes, observations } = decode(&bytes)?;
         shared.hear(&observations.unpack());
-        cache.wait(known_revision, wait.min(WAIT_MAX)).await;
-        let update = cache.news_after(known_revision, largest_bytes);
+        cache.wait_for_update(known_revision, wait.min(MAX_WAIT)).await;
+        let update = cache.update_after(known_revision, largest_bytes);
         let now = shared.now();
         let observations =
-            PackedObservations::pack(&shared.fleet().sightings_after(now, told_at, false));
-        told_at = now;
-        let answer =
+            PackedObservations::pack(&shared.fleet().sightings_after(now, last_sent_at, false));
+        last_sent_at = now;
+        let response =
             encode(&PeerResponse { reads_store: cache.is_current(), update, observations })?;
-        socket.send(Message::Binary(answer)).await.map_err(|_| PeerError::Broken)?;
+        socket.send(Message::Binary(response)).await.map_err(|_| PeerError::Broken)?;
     }
 }
