--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -72,9 +72,7 @@
     /// ```
     pub fn pack(observations: &SharedObservations) -> Self {
         let load = |load: &SharedLoad| (load.incarnation, load.total, age_ms(load.age));
-        let failed = |failures: &SharedFailures| {
-            (failures.incarnation, failures.count, age_ms(failures.age))
-        };
+        let failed = |item: &SharedFailures| (item.incarnation, item.count, age_ms(item.age));
         Self {
             loads: observations.loads.iter().map(load).collect(),
             failures: observations.failures.iter().map(failed).collect(),
