--- a/teaselworks/src/peers/message.rs
+++ b/teaselworks/src/peers/message.rs
@@ -21,8 +21,8 @@
     /// itself if the update is larger.
     pub largest_bytes: Option<usize>,
     /// The querying router's own observations of upstreams since its last query.
-    #[serde(default)]
     #[serde(rename = "heard")]
+    #[serde(default)]
     pub observations: PackedObservations,
 }
 
@@ -36,8 +36,8 @@
     pub update: StoreUpdate,
     /// Observations of upstreams that the queried router made or received since its last response
     /// on this connection.
-    #[serde(default)]
     #[serde(rename = "heard")]
+    #[serde(default)]
     pub observations: PackedObservations,
 }
 
