--- a/teaselworks/tests/news.rs
+++ b/teaselworks/tests/store_updates.rs
@@ -1,4 +1,4 @@
-//! Configurations and lists of upstreams on their way to routers, through trouble of the store.
+//! How configurations and lists of upstreams reach routers, also while the store fails.
 
 mod common;
 
@@ -14,53 +14,61 @@
 use teaselworks_standin::store::{Mode, Store};
 use teaselworks_standin::upstream::{Script, Upstream};
 
+/// Sends a request and returns the status of the response.
 async fn status(router: &Router, target: &str, id: &str) -> u16 {
     call(router.callers(), &request("GET", target, id)).await.unwrap().status()
 }
 
-async fn answers(router: &Router, target: &str, expected: u16) {
+/// Waits until requests for the target get the expected status.
+async fn wait_for_status(router: &Router, target: &str, expected: u16) {
     let what = format!("{target} is answered {expected}");
     until(&what, async || status(router, target, "look").await == expected).await.unwrap();
 }
 
-fn new_route(fleet: &mut Fleet) {
+/// Publishes the next version of the configuration, with a route `/new/`.
+fn publish_new_route(fleet: &mut Fleet) {
     fleet.plan.next_version();
     fleet.plan.route("/new/", "safe", ARCHIVE, 2);
     fleet.publish();
 }
 
+/// Guards against a router that misses a new route or a revoked API key when the operator writes a
+/// new configuration.
 #[tokio::test]
 async fn a_new_configuration_is_in_force_at_every_router() {
     let mut fleet = fleet(2).await;
     for router in &fleet.routers {
         assert_eq!(status(router, "/new/a", "before").await, 404);
     }
-    new_route(&mut fleet);
+    publish_new_route(&mut fleet);
     for router in &fleet.routers {
-        answers(router, "/new/a", 200).await;
+        wait_for_status(router, "/new/a", 200).await;
     }
     fleet.plan.next_version();
     fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
     fleet.publish();
     for router in &fleet.routers {
-        answers(router, "/read/a", 401).await;
+        wait_for_status(router, "/read/a", 401).await;
     }
 }
 
-/// Guards against an older configuration that takes the place of a newer one.
+/// Guards against an older version of the configuration that replaces a newer one when it is
+/// written to the store later.
 #[tokio::test]
 async fn an_older_configuration_is_ignored() {
     let mut fleet = fleet(1).await;
-    new_route(&mut fleet);
-    answers(&fleet.routers[0], "/new/a", 200).await;
+    publish_new_route(&mut fleet);
+    wait_for_status(&fleet.routers[0], "/new/a", 200).await;
     let older = Plan::default();
     fleet.store.put_json("op/config", &older.value);
     fleet.routers[0].logged("configuration_stale", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/new/a", "after").await, 200);
 }
 
+/// Guards against the loss of the known configuration or replicas when values that cannot be
+/// decoded are written over theirs.
 #[tokio::test]
-async fn values_that_cannot_be_read_leave_what_is_known() {
+async fn undecodable_values_leave_the_known_state_in_force() {
     let fleet = fleet(1).await;
     fleet.store.put("op/config", b"{ \"version\": 9, \"routes\": [ { \"name\": 7 } ] }");
     fleet.store.put("servers/service-1", b"\xff\xfe no json");
@@ -70,10 +78,11 @@
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
 }
 
-/// Guards against a replica that is used by an entry that somebody else wrote over its own, and
-/// against the loss of the others; by watch, by a whole read and from another router.
+/// Guards against requests to a replica whose entry another writer has overwritten with an invalid
+/// one, and against the loss of the other replicas. One router gets the entry by a watch, one by a
+/// snapshot and one from another router.
 #[tokio::test]
-async fn an_entry_that_somebody_else_wrote_names_no_replica() {
+async fn a_replica_with_an_overwritten_entry_is_not_used() {
     let mut fleet = fleet(1).await;
     let good = |fleet: &Fleet| {
         let service = &fleet.services[0];
@@ -89,8 +98,9 @@
     let proxy = Proxy::start(store).unwrap();
     proxy.set_frozen(true);
     let seeds = [fleet.routers[0].peers()];
-    let asker = Router::start(program(), "asker", proxy.address(), &seeds, &json!({})).unwrap();
-    fleet.routers.extend([reader, asker]);
+    let cut_off_router =
+        Router::start(program(), "asker", proxy.address(), &seeds, &json!({})).unwrap();
+    fleet.routers.extend([reader, cut_off_router]);
     for (number, router) in fleet.routers.iter().enumerate() {
         router.ready().await.unwrap();
         for turn in 0..6 {
@@ -101,7 +111,7 @@
 
     fleet.store.put_json("servers/service-1", &good(&fleet));
     fleet.list(&fleet.services[1], ARCHIVE, "draining");
-    answers(&fleet.routers[0], "/read/a", 200).await;
+    wait_for_status(&fleet.routers[0], "/read/a", 200).await;
     until("the replica is used again", async || {
         status(&fleet.routers[0], "/read/a", "again").await;
         !fleet.services[0].seen().is_empty()
@@ -110,9 +120,10 @@
     .unwrap();
 }
 
-/// Guards against work in progress that ends because somebody wrote over its replica's entry.
+/// Guards against requests in progress that are cut off when another writer overwrites the entry of
+/// their replica.
 #[tokio::test]
-async fn work_at_a_replica_whose_entry_was_overwritten_goes_on() {
+async fn requests_in_progress_at_a_replica_with_an_overwritten_entry_finish() {
     let fleet = fleet(1).await;
     for engine in &fleet.engines {
         engine.set_behaviour(|seen| Script::stream(seen, 1..21, Duration::from_millis(50), true));
@@ -130,23 +141,25 @@
     assert_eq!((reply.status(), reply.events().len()), (200, 20));
 }
 
-/// Guards against one value that is no base64 text and hides all other changes of the store.
+/// Guards against a value that is not base64 text and makes the router refuse the whole response of
+/// the store, with all other changes in it.
 #[tokio::test]
-async fn a_value_that_is_no_text_hides_no_other() {
+async fn a_value_that_is_not_base64_does_not_hide_other_changes() {
     let mut fleet = fleet(1).await;
     fleet.store.put_raw("servers/service-1", json!("*** no base64"));
     fleet.store.put_raw("servers/other", json!({ "a": [1] }));
-    new_route(&mut fleet);
-    answers(&fleet.routers[0], "/new/a", 200).await;
+    publish_new_route(&mut fleet);
+    wait_for_status(&fleet.routers[0], "/new/a", 200).await;
     let store = fleet.store.address();
     let reader = Router::start(program(), "reader", store, &[], &json!({})).unwrap();
     reader.ready().await.unwrap();
-    answers(&reader, "/new/a", 200).await;
+    wait_for_status(&reader, "/new/a", 200).await;
 }
 
-/// Guards against requests that fail while the store is silent or refuses.
+/// Guards against requests that fail while the store refuses calls or does not respond, and against
+/// changes that are missed afterwards.
 #[tokio::test]
-async fn requests_are_served_while_the_store_is_away() {
+async fn requests_are_served_while_the_store_is_unavailable() {
     let mut fleet = fleet(1).await;
     for mode in [Mode::Busy, Mode::Silent] {
         fleet.store.set_mode(mode);
@@ -158,12 +171,12 @@
         fleet.store.set_mode(Mode::Serving);
         fleet.routers[0].logged("store_regained", regained + 1).await.unwrap();
     }
-    new_route(&mut fleet);
-    answers(&fleet.routers[0], "/new/a", 200).await;
+    publish_new_route(&mut fleet);
+    wait_for_status(&fleet.routers[0], "/new/a", 200).await;
 }
 
-/// Starts another router and cuts it off from the store, through the proxy that is returned.
-async fn apart(fleet: &Fleet) -> (Proxy, Router) {
+/// Starts another router that reaches the store through the returned proxy, and cuts it off there.
+async fn start_cut_off_router(fleet: &Fleet) -> (Proxy, Router) {
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     let seeds = [fleet.routers[0].peers()];
     let router = Router::start(program(), "apart", proxy.address(), &seeds, &json!({})).unwrap();
@@ -174,21 +187,23 @@
     (proxy, router)
 }
 
-/// Guards against a revoked key that stays valid at a router that the store turns away.
+/// Guards against a revoked API key that stays valid at a router which alone is cut off from the
+/// store.
 #[tokio::test]
-async fn a_router_that_the_store_turns_away_learns_from_another() {
+async fn a_router_cut_off_from_the_store_gets_updates_from_another_router() {
     let mut fleet = fleet(2).await;
-    let (_proxy, router) = apart(&fleet).await;
+    let (_proxy, router) = start_cut_off_router(&fleet).await;
     fleet.plan.next_version();
     fleet.plan.value["tenants"][0]["api_keys"] = json!(["another"]);
     fleet.publish();
-    answers(&router, "/read/a", 401).await;
+    wait_for_status(&router, "/read/a", 401).await;
     assert!(!router.logged("peer_answered", 1).await.unwrap().is_empty());
 }
 
-/// Guards against a router that serves nothing, since the store turned it away at its start.
+/// Guards against a router that cannot serve because the store does not answer it when it starts,
+/// although a router among its seeds knows the configuration.
 #[tokio::test]
-async fn a_router_that_starts_without_the_store_learns_from_a_seed() {
+async fn a_router_that_starts_without_the_store_gets_the_state_from_a_seed() {
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.store.address()).unwrap();
     proxy.set_frozen(true);
@@ -198,11 +213,13 @@
     assert_eq!(status(&router, "/read/a", "1").await, 200);
 }
 
+/// Guards against a router that reports ready, or lets requests wait, while it has no
+/// configuration.
 #[tokio::test]
-async fn a_router_that_knows_nothing_is_not_ready_and_refuses() {
+async fn a_router_without_a_configuration_is_not_ready_and_refuses_requests() {
     let store = teaselworks_standin::store::Store::start().unwrap();
     let router = Router::start(program(), "alone", store.address(), &[], &json!({})).unwrap();
-    until("it listens", async || {
+    until("the router listens", async || {
         let reply = call(router.callers(), &request("GET", "/read/a", "1")).await;
         reply.is_ok_and(|reply| reply.status() == 503 && reply.head.header("retry-after").is_some())
     })
@@ -211,13 +228,14 @@
     assert!(!router.is_ready().await);
 }
 
-/// Guards against changes that are never seen, since the store forgot its history.
+/// Guards against changes that a router never sees because the store compacted its history while
+/// the router could not read it.
 #[tokio::test]
-async fn changes_in_forgotten_history_are_read_again() {
+async fn changes_in_compacted_history_are_read_again() {
     let mut fleet = fleet(1).await;
     fleet.store.set_mode(Mode::Busy);
     fleet.routers[0].logged("store_lost", 1).await.unwrap();
-    new_route(&mut fleet);
+    publish_new_route(&mut fleet);
     fleet.list(&fleet.services[0], ARCHIVE, "draining");
     fleet.unlist("service-2");
     fleet.store.compact();
@@ -225,11 +243,12 @@
     fleet.routers[0].logged("history_lost", 1).await.unwrap();
     fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
     fleet.routers[0].logged("upstream_gone", 1).await.unwrap();
-    answers(&fleet.routers[0], "/new/a", 503).await;
+    wait_for_status(&fleet.routers[0], "/new/a", 503).await;
 }
 
+/// Guards against new requests to a replica that announced in its entry that it is about to stop.
 #[tokio::test]
-async fn a_draining_replica_finishes_and_gets_nothing_new() {
+async fn a_draining_replica_gets_no_new_requests() {
     let fleet = fleet(1).await;
     fleet.list(&fleet.services[0], ARCHIVE, "draining");
     fleet.routers[0].logged("upstream_draining", 1).await.unwrap();
@@ -239,6 +258,7 @@
     assert!(fleet.services[0].seen().is_empty());
 }
 
+/// Guards against a replica that gets no requests because it registered after the routers started.
 #[tokio::test]
 async fn an_added_replica_is_used() {
     let fleet = fleet(1).await;
@@ -248,13 +268,14 @@
     fleet.routers[0].logged("upstream_draining", 2).await.unwrap();
     let added = Upstream::start("service-3", |seen| Script::whole(seen, 200, "new")).unwrap();
     fleet.list(&added, ARCHIVE, "ready");
-    answers(&fleet.routers[0], "/read/a", 200).await;
+    wait_for_status(&fleet.routers[0], "/read/a", 200).await;
     assert!(!added.seen().is_empty());
 }
 
-/// Guards against a router without replicas for seconds, since entries lapsed in an outage.
+/// Guards against a router that has no replicas for seconds after an outage of the store, because
+/// their entries expired in it.
 #[tokio::test]
-async fn entries_that_lapsed_in_an_outage_are_used_until_they_are_back() {
+async fn replicas_whose_entries_expired_in_an_outage_are_used_until_they_return() {
     let fleet = fleet(1).await;
     fleet.store.set_mode(Mode::Busy);
     fleet.routers[0].logged("store_lost", 1).await.unwrap();
@@ -266,16 +287,17 @@
     fleet.routers[0].logged("upstream_missing", 2).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "missing").await, 200);
     fleet.list(&fleet.services[0], ARCHIVE, "ready");
-    // The other one does not come back.
+    // The entry of the other replica does not return.
     fleet.routers[0].logged("upstream_gone", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
 }
 
-/// Guards against a grace for removed entries after a cut of one router alone.
+/// Guards against requests to a removed replica by a router that takes its own cut from the store
+/// for an outage in which entries of live replicas expired.
 #[tokio::test]
-async fn a_cut_of_one_router_gives_no_grace_to_entries_that_are_removed() {
+async fn an_outage_of_one_router_gives_no_grace_period_to_removed_entries() {
     let fleet = fleet(1).await;
-    let (proxy, router) = apart(&fleet).await;
+    let (proxy, router) = start_cut_off_router(&fleet).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     proxy.cut();
     proxy.set_frozen(false);
@@ -285,8 +307,10 @@
     assert!(router.events("upstream_missing").is_empty());
 }
 
+/// Guards against a router that is missing from the list of routers in the store, so that the
+/// others do not count or query it.
 #[tokio::test]
-async fn routers_know_of_each_other() {
+async fn every_router_registers_itself() {
     let fleet = fleet(3).await;
     assert_eq!(fleet.store.keys("routers/").len(), 3);
     for router in &fleet.routers {
@@ -294,10 +318,10 @@
     }
 }
 
-/// Guards against a configuration that is too large to be read over a small link in the time of one
-/// call, so that the router asks for it again and again and never has it.
+/// Guards against a configuration that takes longer to transfer over a slow link than one call may
+/// last, so that the router requests it again and again and never gets it.
 #[tokio::test]
-async fn a_large_configuration_reaches_a_router_on_a_small_link() {
+async fn a_large_configuration_reaches_a_router_on_a_slow_link() {
     let store = Store::start().unwrap();
     let link = Proxy::start(store.address()).unwrap();
     let mut plan = Plan::default();
