--- a/teaselworks/tests/readers.rs
+++ b/teaselworks/tests/readers.rs
@@ -1,4 +1,4 @@
-//! A fleet so large that a few routers read the store for the others.
+//! Fleets so large that a few routers, the readers, read the store for the others.
 
 mod common;
 
@@ -11,9 +11,10 @@
 use teaselworks_standin::fleet::{Fleet, until};
 use teaselworks_standin::upstream::{Script, Step};
 
-/// Routers of the fleet, of which four read.
+/// Number of routers; four of them are readers.
 const ROUTERS: usize = 14;
 
+/// Publishes a configuration with a new route and waits until every router serves it.
 async fn add_route(fleet: &mut Fleet, prefix: &str) {
     fleet.plan.next_version();
     fleet.plan.route(prefix, "safe", ARCHIVE, 2);
@@ -30,16 +31,17 @@
     }
 }
 
-/// Guards against news that stop when the routers that read for others are killed.
+/// Guards against routers that get no updates any more when the readers are killed, and against a
+/// fleet in which every router watches the store.
 #[tokio::test]
-async fn news_reach_every_router_also_when_readers_are_killed() {
+async fn updates_reach_every_router_when_readers_are_killed() {
     let mut fleet = fleet(ROUTERS).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = fleet.store.calls().len();
     add_route(&mut fleet, "/one/").await;
     let watches = |calls: &[String]| calls.iter().filter(|call| call.contains("kv-watch")).count();
-    let watched = watches(&fleet.store.calls()[before..]);
-    assert!(watched < ROUTERS, "{watched} looks at the store for one change");
+    let watch_count = watches(&fleet.store.calls()[before..]);
+    assert!(watch_count < ROUTERS, "{watch_count} watches of the store for one change");
 
     let is_reader = |number: &usize| fleet.routers[*number].events("peer_answered").is_empty();
     let readers: Vec<usize> = (0..ROUTERS).filter(is_reader).collect();
@@ -51,7 +53,8 @@
     add_route(&mut fleet, "/two/").await;
 }
 
-/// Guards against a large configuration that a few routers pass on over their own links.
+/// Guards against readers that send a large configuration to many routers and so use up their own
+/// links, which delays it for all.
 #[tokio::test]
 async fn a_large_configuration_is_read_from_the_store_by_each_router() {
     let mut fleet = fleet(ROUTERS).await;
@@ -66,10 +69,10 @@
     add_route(&mut fleet, "/larger/").await;
 }
 
-/// Guards against routers of a large fleet that each know the load of a replica only from their own
-/// few requests.
+/// Guards against routers of a large fleet that know the load of a replica only from the responses
+/// to their own few requests.
 #[tokio::test]
-async fn loads_that_one_router_hears_reach_the_others() {
+async fn load_reports_of_one_router_reach_the_others() {
     let fleet = fleet(ROUTERS).await;
     for service in &fleet.services {
         service.set_behaviour(|seen| {
@@ -84,11 +87,12 @@
     let mut others = fleet.routers.iter().enumerate();
     let (_, first) = others.next().unwrap();
     let mut turn = 0;
-    until("a router knows a load that another one heard", async || {
+    until("a router knows a load report that another router received", async || {
         turn += 1;
         call(first.callers(), &request("GET", "/read/a", &format!("h{turn}"))).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        // Each is asked once: after that it has heard of the load itself.
+        // Each router gets one request: the response to it brings the load report to that router,
+        // too.
         let Some((number, router)) = others.next() else { return false };
         let id = format!("o{number}");
         call(router.callers(), &request("GET", "/read/a", &id)).await.unwrap();
@@ -99,9 +103,10 @@
     .unwrap();
 }
 
-/// Guards against routers of a large fleet that each find a broken replica by themselves.
+/// Guards against routers of a large fleet that each detect a broken replica only by their own
+/// failed requests.
 #[tokio::test]
-async fn a_replica_that_fails_at_some_routers_is_left_by_the_others() {
+async fn a_replica_that_fails_at_some_routers_is_ejected_by_the_others() {
     let fleet = fleet(ROUTERS).await;
     fleet.services[0].set_behaviour(|_| Script::of(vec![Step::Reset]));
     let (untouched, others) = fleet.routers.split_last().unwrap();
