--- a/teaselworks/src/discovery/registrar.rs
+++ b/teaselworks/src/discovery/registrar.rs
@@ -27,15 +27,15 @@
 
 impl Registrar {
     /// Creates the task of a router that others can query at `peer_address`. The lease is not
-    /// shorter than `min_lease_time`.
+    /// shorter than `shortest_lease`.
     pub fn new(
         store: Store,
         name: &str,
         peer_address: SocketAddr,
-        min_lease_time: Duration,
+        shortest_lease: Duration,
         shutdown: Shutdown,
     ) -> Self {
-        let lease_time = LEASE_TIME.max(min_lease_time);
+        let lease_time = LEASE_TIME.max(shortest_lease);
         Self { store, key: registration_key(name), peer_address, lease_time, shutdown }
     }
 
