--- /dev/null
+++ b/teaselworks/src/discovery/registrar.rs
@@ -0,0 +1,83 @@
+//! Task that keeps this router registered in the store, so that other routers count it and can
+//! query it.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use crate::event;
+use crate::kernel::{Shutdown, ShutdownPhase};
+use crate::platform::{Lease, Store, StoreError, registration_key, registration_value};
+
+/// Time after which the registration of a router that was killed expires. Until then the other
+/// routers still count it, which only makes their shares of the retry budget smaller.
+const LEASE_TIME: Duration = Duration::from_secs(9);
+/// Number of renewals within the time of a lease; the lease survives two failed ones in a row.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Pause after a failed call to the store.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+
+/// Task that registers this router under a lease and renews the lease.
+pub struct Registrar {
+    store: Store,
+    key: String,
+    peer_address: SocketAddr,
+    lease_time: Duration,
+    shutdown: Shutdown,
+}
+
+impl Registrar {
+    /// Creates the task of a router that others can query at `peer_address`. The lease is not
+    /// shorter than `shortest_lease`.
+    pub fn new(
+        store: Store,
+        name: &str,
+        peer_address: SocketAddr,
+        shortest_lease: Duration,
+        shutdown: Shutdown,
+    ) -> Self {
+        let lease_time = LEASE_TIME.max(shortest_lease);
+        Self { store, key: registration_key(name), peer_address, lease_time, shutdown }
+    }
+
+    /// Keeps the router registered until a planned stop begins, and then ends the registration.
+    pub async fn run(mut self) {
+        let mut lease = None;
+        while self.shutdown.phase() == ShutdownPhase::Running {
+            let pause = match self.renew_or_register(&mut lease).await {
+                Ok(()) => self.lease_time / RENEWALS_PER_LEASE,
+                Err(error) => {
+                    event::REGISTRATION_LOST.log(&[event::text("cause", &error)]);
+                    RETRY_PAUSE
+                }
+            };
+            tokio::select! {
+                () = tokio::time::sleep(pause) => {}
+                () = self.shutdown.reached(ShutdownPhase::Announced) => {}
+            }
+        }
+        if let Some(lease) = lease {
+            // If this call fails, the lease expires by itself.
+            let _ = self.store.revoke_lease(lease).await;
+        }
+    }
+
+    /// Renews the lease. Without a lease, or if it has ended, registers the router under a new one.
+    async fn renew_or_register(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
+        if let Some(current) = *lease {
+            if self.store.renew_lease(current).await? {
+                return Ok(());
+            }
+            *lease = None;
+        }
+        let new_lease = self.store.grant_lease(self.lease_time).await?;
+        let value = registration_value(self.peer_address);
+        if self.store.put(&self.key, &value, new_lease).await? {
+            *lease = Some(new_lease);
+            event::REGISTERED.log(&[
+                event::text("key", &self.key),
+                event::number("lease_ms", new_lease.ttl.as_millis() as u64),
+            ]);
+        }
+        Ok(())
+    }
+}
--- a/teaselworks/src/lib.rs
+++ b/teaselworks/src/lib.rs
@@ -5,9 +5,9 @@
 //! chat share parts of their prompts with the earlier ones.
 #![warn(clippy::disallowed_methods)]
 
-pub mod beliefs;
 pub mod cli;
 pub mod daemon;
+pub mod discovery;
 pub mod event;
 #[cfg(feature = "experiment")]
 pub mod experiment;
--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use teaselworks::beliefs::News;
-use teaselworks::peers::message::{self, Answer, Heard, Question};
+use teaselworks::discovery::StoreUpdate;
+use teaselworks::peers::message::{self, PackedObservations, PeerQuery, PeerResponse};
 use teaselworks::platform::{Item, ItemChange, ItemValue, decode_item};
 use teaselworks_policy::configuration::{Configuration, Kind};
 use teaselworks_policy::upstream::{SharedLoad, SharedObservations, Upstream};
@@ -161,8 +161,8 @@
     /// Guards against a panic on a truncated or corrupted message of another router.
     #[test]
     fn malformed_messages_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = message::decode::<Answer>(&bytes);
-        let _ = message::decode::<Question>(&bytes);
+        let _ = message::decode::<PeerResponse>(&bytes);
+        let _ = message::decode::<PeerQuery>(&bytes);
     }
 
     /// Guards against a truncated message that is decoded as if it were complete.
@@ -173,11 +173,11 @@
     ) {
         let changes = vec![ItemChange::Written(item("servers/i-1", &value))];
         let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(9) };
-        let heard = Heard::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
-        let answer = Answer { reads_store: true, news: News::Changes(changes), heard };
+        let observations = PackedObservations::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
+        let answer = PeerResponse { reads_store: true, update: StoreUpdate::Changes(changes), observations };
         let bytes = message::encode(&answer).unwrap();
-        prop_assert_eq!(message::decode::<Answer>(&bytes).unwrap().news, answer.news);
-        prop_assert!(message::decode::<Answer>(&bytes[..cut.index(bytes.len())]).is_err());
+        prop_assert_eq!(message::decode::<PeerResponse>(&bytes).unwrap().update, answer.update);
+        prop_assert!(message::decode::<PeerResponse>(&bytes[..cut.index(bytes.len())]).is_err());
     }
 
     /// Guards against a field value from another program that makes the router panic, or that
