--- /dev/null
+++ b/teaselworks/src/discovery/mod.rs
@@ -0,0 +1,14 @@
+//! Keeps the router's view of the configuration, the upstreams and the other routers up to date
+//! with the platform's store, and registers this router there.
+
+mod cache;
+mod fallback;
+mod registrar;
+mod updater;
+mod watcher;
+
+pub use self::cache::{StoreCache, StoreUpdate};
+pub use self::fallback::PeerFallback;
+pub use self::registrar::Registrar;
+pub use self::updater::{Source, StateUpdater};
+pub use self::watcher::StoreWatcher;
--- a/teaselworks/src/platform/mod.rs
+++ b/teaselworks/src/platform/mod.rs
@@ -1,6 +1,7 @@
-//! The users' platform: the one place that knows its names, formats and calls.
+//! Adapter to the users' platform: its store, its HTTP headers and its data formats.
 //!
-//! Everything is decoded once into the product's types; nothing here decides anything.
+//! This is the only module that knows the platform's names, formats and calls. Each value is
+//! decoded once into the router's own types; routing decisions are made in other modules.
 
 mod configuration;
 mod error;
@@ -12,9 +13,9 @@
 mod wire;
 
 pub use self::error::{DecodeError, StoreError};
-pub use self::item::{Belief, Item, Subject, decode, subject};
-pub use self::registration::{registration, registration_key};
-pub use self::store::{ItemChange, Lease, Snapshot, Store, Watched};
+pub use self::item::{Item, ItemValue, KeyKind, classify_key, decode_item};
+pub use self::registration::{registration_key, registration_value};
+pub use self::store::{ItemChange, Lease, Snapshot, Store, WatchResult};
 
 /// Environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "TEASELWORKS_BOOT";
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -14,13 +14,13 @@
 use super::body::OutgoingBody;
 use super::request::PreparedRequest;
 use super::upstream_connection::Connection;
-use crate::platform::headers::{self, AnswerFacts, Passing};
+use crate::platform::headers::{self, AddedHeaders, ResponseMetadata};
 
 /// An answer whose head was checked: it belongs to the request.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) facts: AnswerFacts,
+    pub(super) facts: ResponseMetadata,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
 }
@@ -110,17 +110,17 @@
             }
         };
         let (head, body) = answer.into_parts();
-        let facts = headers::read_answer(head.status.as_u16(), &head.headers);
+        let facts = headers::parse_response_headers(head.status.as_u16(), &head.headers);
         connection.set_keep_alive(facts.keep_alive);
         let checked = check(&facts, head.status, &self.prepared.facts.id);
-        let headers = headers::answered(&head.headers);
+        let headers = headers::caller_response_headers(&head.headers);
         let answer = Answer { status: head.status, headers, facts, body, connection };
         Ok(checked.map(|()| answer))
     }
 
     fn request(&self, body: OutgoingBody, size_bytes: Option<u64>) -> Request<OutgoingBody> {
         let prepared = self.prepared;
-        let passing = Passing {
+        let passing = AddedHeaders {
             upstream: &self.upstream.id,
             remaining: prepared.deadline.remaining(self.shared.now()),
             workspace: prepared.workspace.as_ref().map(|workspace| &*workspace.name),
@@ -128,7 +128,7 @@
             holder: self.holder,
             last_event_id: self.last_event_id,
         };
-        let mut passed = headers::passed_on(&prepared.headers, &passing);
+        let mut passed = headers::upstream_request_headers(&prepared.headers, &passing);
         if let Some(size) = size_bytes {
             passed.insert(header::CONTENT_LENGTH, HeaderValue::from(size));
         }
@@ -142,7 +142,7 @@
 
 /// Checks that an answer is one to the request, and that it was run; an upstream may send a second
 /// answer on a kept connection.
-fn check(facts: &AnswerFacts, status: StatusCode, request_id: &str) -> Result<(), Failure> {
+fn check(facts: &ResponseMetadata, status: StatusCode, request_id: &str) -> Result<(), Failure> {
     let is_foreign = match &facts.id {
         Some(id) => **id != *request_id,
         // An upstream that turns a request away may not have read its identifier.
@@ -152,7 +152,7 @@
         return Err(Failure::Foreign);
     }
     if facts.is_not_run {
-        return Err(if facts.is_moved { Failure::Moved } else { Failure::Rejected });
+        return Err(if facts.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
     let is_unsigned = !facts.is_signed || facts.is_encoded;
     if is_unsigned && status.is_success() {
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -16,7 +16,7 @@
 use teaselworks_policy::verdict::RefusalReason;
 
 use super::body::{self, BodyError, OutgoingBody};
-use crate::platform::headers::{self, RequestFacts};
+use crate::platform::headers::{self, RequestMetadata};
 
 /// Largest body that is buffered before the request is sent to an upstream, so that the request can
 /// be sent again. A larger one is streamed to a single upstream.
@@ -24,7 +24,7 @@
 
 /// A request whose head passed all checks, with the route and service that it goes to.
 pub(super) struct PreparedRequest {
-    pub(super) facts: RequestFacts,
+    pub(super) facts: RequestMetadata,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
@@ -55,14 +55,14 @@
 /// - `NoReplica`: the route sends the request to no service.
 pub(super) fn check(
     head: Parts,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     configuration: &Configuration,
     now: Duration,
 ) -> Result<PreparedRequest, RefusalReason> {
     let host = headers::host(&head.headers, &head.uri).map_err(|_| RefusalReason::Malformed)?;
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
-    let workspace = match &facts.key {
+    let workspace = match &facts.api_key {
         _ if route.is_anonymous || !configuration.workspaces.is_key_required() => None,
         Some(key) => {
             let workspace = configuration.workspaces.find(key);
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -36,7 +36,7 @@
     activity: &Activity,
 ) -> Response<OutgoingBody> {
     let (head, incoming) = request.into_parts();
-    let facts = match headers::read_request(&head.headers) {
+    let facts = match headers::parse_request_headers(&head.headers) {
         Ok(facts) => facts,
         Err(_) => {
             let progress = RequestProgress::begin(shared, "".into());
@@ -89,7 +89,7 @@
     let status = StatusCode::from_u16(refusal.http_status());
     let mut response = Response::new(body::from_bytes(Bytes::new()));
     *response.status_mut() = status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    *response.headers_mut() = headers::own_answer(id, refusal.retry_after);
+    *response.headers_mut() = headers::router_response_headers(id, refusal.retry_after);
     response
 }
 
@@ -201,7 +201,7 @@
             }
         }
         let Answer { status, headers, facts, connection, .. } = answer;
-        if !facts.closes {
+        if !facts.closes_connection {
             connection.release(self.shared.now());
         }
         let upstream = in_flight.upstream().clone();
