--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/request_state.rs
@@ -15,7 +15,7 @@
 use crate::event;
 
 /// A request that is being served.
-pub(super) struct Serving {
+pub(super) struct RequestState {
     pub(super) shared: Arc<Shared>,
     pub(super) prepared: Prepared,
     pub(super) configuration: Arc<Configuration>,
@@ -24,7 +24,7 @@
     runs: u32,
 }
 
-impl Serving {
+impl RequestState {
     pub(super) fn new(
         shared: Arc<Shared>,
         prepared: Prepared,
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -18,7 +18,7 @@
 use super::io::Activity;
 use super::outcome::Progress;
 use super::request::{self, RequestBody};
-use super::serving::{Serving, symptom};
+use super::request_state::{RequestState, symptom};
 use super::stream::{self, Streaming};
 use crate::platform::headers;
 
@@ -69,7 +69,7 @@
         activity.set_reusable(true);
     }
     match body {
-        Ok(body) => Serving::new(shared, prepared, configuration, body).run(progress).await,
+        Ok(body) => RequestState::new(shared, prepared, configuration, body).run(progress).await,
         Err(reason) => refuse(progress, Some(&id), &plain(reason), 0, version),
     }
 }
@@ -108,7 +108,7 @@
     Failed(Failure, Option<Whole>),
 }
 
-impl Serving {
+impl RequestState {
     async fn run(mut self, mut progress: Progress) -> Response<Outgoing> {
         // The last failure that an upstream answered itself; it is passed on where nothing better
         // follows.
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -18,7 +18,7 @@
 use super::body::{BodyError, Outgoing};
 use super::in_flight::InFlight;
 use super::outcome::Progress;
-use super::serving::{Serving, symptom};
+use super::request_state::{RequestState, symptom};
 use super::upstream_connection::Connection;
 
 /// Media type of server-sent events.
@@ -57,12 +57,12 @@
 /// Answers with the head of an answer and a body that passes on the rest.
 pub(super) fn respond(
     streaming: Streaming,
-    mut serving: Serving,
+    mut request_state: RequestState,
     progress: Progress,
 ) -> Response<Outgoing> {
-    serving.release_request();
+    request_state.release_request();
     let splitter = streaming.has_events().then(EventSplitter::default);
-    let remaining = serving.prepared.deadline.remaining(serving.shared.now());
+    let remaining = request_state.prepared.deadline.remaining(request_state.shared.now());
     let Streaming { status, headers, source, first } = streaming;
     let relay = StreamRelay {
         first: Some(first).filter(|first| !first.is_empty()),
@@ -70,9 +70,9 @@
         source: Some(source),
         splitter,
         deadline: Box::pin(tokio::time::sleep(remaining)),
-        silence: Box::pin(tokio::time::sleep(serving.prepared.route.silence_timeout())),
-        last_at: serving.shared.now(),
-        serving,
+        silence: Box::pin(tokio::time::sleep(request_state.prepared.route.silence_timeout())),
+        last_at: request_state.shared.now(),
+        request_state,
         progress,
     };
     let frames = stream::unfold(Some(relay), |relay| async move {
@@ -108,7 +108,7 @@
     /// then.
     silence: Pin<Box<Sleep>>,
     last_at: Duration,
-    serving: Serving,
+    request_state: RequestState,
     progress: Progress,
 }
 
@@ -150,7 +150,7 @@
                     continue;
                 }
             };
-            self.last_at = self.serving.shared.now();
+            self.last_at = self.request_state.shared.now();
             match frame {
                 None if source.connection.was_cut() => self.resume(Failure::Broken).await?,
                 None => return Ok(None),
@@ -166,17 +166,17 @@
 
     /// Goes on elsewhere where the answer has been silent for too long and may be resumed.
     async fn on_silence(&mut self) -> Result<(), BodyError> {
-        let longest = self.serving.prepared.route.silence_timeout();
-        let now = self.serving.shared.now();
+        let longest = self.request_state.prepared.route.silence_timeout();
+        let now = self.request_state.shared.now();
         let silent = now.saturating_sub(self.last_at);
         if silent < longest {
             self.silence.as_mut().reset(Instant::now() + (longest - silent));
             return Ok(());
         }
         self.silence.as_mut().reset(Instant::now() + longest);
-        if self.splitter.is_some() && self.serving.takes_repeat() {
+        if self.splitter.is_some() && self.request_state.takes_repeat() {
             self.resume(Failure::Silent).await?;
-            self.last_at = self.serving.shared.now();
+            self.last_at = self.request_state.shared.now();
         }
         Ok(())
     }
@@ -195,14 +195,15 @@
         splitter.drop_part();
         let last_id = splitter.last_id().map(str::to_owned);
         loop {
-            self.serving.next(failure, true).map_err(|_| BodyError::Broken)?;
+            self.request_state.next(failure, true).map_err(|_| BodyError::Broken)?;
             let after = last_id.as_deref();
-            let placement = self.serving.place(after).map_err(|_| BodyError::Broken)?;
-            let mut in_flight = self.serving.in_flight(&placement);
-            let (body, size_bytes) = self.serving.body.for_attempt().ok_or(BodyError::Broken)?;
+            let placement = self.request_state.place(after).map_err(|_| BodyError::Broken)?;
+            let mut in_flight = self.request_state.in_flight(&placement);
+            let (body, size_bytes) =
+                self.request_state.body.for_attempt().ok_or(BodyError::Broken)?;
             let mut attempt = Attempt {
-                shared: &self.serving.shared,
-                prepared: &self.serving.prepared,
+                shared: &self.request_state.shared,
+                prepared: &self.request_state.prepared,
                 upstream: &placement.upstream,
                 holder: placement.holder,
                 last_event_id: after,
@@ -232,24 +233,24 @@
 
     /// Ends an answer that is whole, and keeps its connection.
     fn finish(self) {
-        let Self { source, serving, progress, status, .. } = self;
+        let Self { source, request_state, progress, status, .. } = self;
         let Some(Source { mut in_flight, connection, closes, body }) = source else { return };
         drop(body);
         in_flight.observe(RequestOutcome::Answered);
-        let attempts = serving.attempts();
+        let attempts = request_state.attempts();
         progress.answered(status.as_u16(), in_flight.upstream(), attempts);
         if !closes {
-            connection.release(serving.shared.now());
+            connection.release(request_state.shared.now());
         }
     }
 
     /// Ends an answer that is not whole; its caller sees a broken connection.
     fn break_off(self, cause: BodyError) {
-        let Self { source, serving, progress, .. } = self;
+        let Self { source, request_state, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
         if let Some(mut source) = source.filter(|_| cause != BodyError::Deadline) {
             source.in_flight.observe(RequestOutcome::NoAnswer);
         }
-        progress.broken(cause, upstream.as_deref().unwrap_or(""), serving.attempts());
+        progress.broken(cause, upstream.as_deref().unwrap_or(""), request_state.attempts());
     }
 }
