--- a/teaselworks/src/relay/connections.rs
+++ b/teaselworks/src/relay/connection_pool.rs
@@ -20,13 +20,13 @@
 /// Connections to upstreams, of which idle ones are used again.
 ///
 /// An idle one is a mere socket: the buffers of the HTTP library take far more than that.
-pub struct Connections {
+pub struct ConnectionPool {
     idle: Arc<IdleConnections>,
     open: Arc<OpenConnections>,
     metrics: Arc<Metrics>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Makes an empty pool.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self { idle: Arc::default(), open: Arc::default(), metrics }
--- a/teaselworks/src/relay/mod.rs
+++ b/teaselworks/src/relay/mod.rs
@@ -4,7 +4,7 @@
 mod body;
 mod caller;
 mod caller_connection;
-mod connections;
+mod connection_pool;
 mod events;
 mod in_flight;
 mod io;
@@ -17,6 +17,6 @@
 mod upstream_connection;
 
 pub use self::caller::{CallerPort, OpenConnections};
-pub use self::connections::Connections;
+pub use self::connection_pool::ConnectionPool;
 pub use self::events::EventSplitter;
 pub use self::shared::Shared;
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -12,7 +12,7 @@
 use teaselworks_policy::verdict::Refusal;
 use tokio::sync::Notify;
 
-use super::Connections;
+use super::ConnectionPool;
 use crate::event;
 use crate::kernel::{Shutdown, ShutdownPhase};
 use crate::metrics::Metrics;
@@ -28,7 +28,7 @@
     /// Counters and histograms.
     pub metrics: Arc<Metrics>,
     /// Idle connections to upstreams.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Phase of a planned stop.
     pub shutdown: Shutdown,
     /// Plan of a planned stop and when that began.
@@ -49,7 +49,7 @@
         zone: Arc<str>,
         fleet: Fleet,
     ) -> Self {
-        let connections = Connections::new(metrics.clone());
+        let connections = ConnectionPool::new(metrics.clone());
         let stop = OnceLock::new();
         let started = clock.monotonic();
         let fleet = Mutex::new(fleet);
