--- a/teaselworks/src/beliefs/learn.rs
+++ b/teaselworks/src/beliefs/learn.rs
@@ -232,9 +232,9 @@
                 Change::Gone(id) => (event::UPSTREAM_GONE, id),
             };
             match change {
-                Change::Gone(_) | Change::Draining(_) => self.shared.connections.forget(id),
+                Change::Gone(_) | Change::Draining(_) => self.shared.connections.close_idle(id),
                 Change::Restarted(upstream) => {
-                    self.shared.connections.cut_others(&upstream.incarnation());
+                    self.shared.connections.close_other_incarnations(&upstream.incarnation());
                 }
                 _ => {}
             }
--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -133,6 +133,6 @@
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         learner.expire();
-        shared.connections.sweep(shared.now());
+        shared.connections.close_expired(shared.now());
     }
 }
--- a/teaselworks/src/relay/connection_pool.rs
+++ b/teaselworks/src/relay/connection_pool.rs
@@ -68,7 +68,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn sweep(&self, now: Duration) {
+    pub fn close_expired(&self, now: Duration) {
         let mut idle = self.idle.lock();
         for kept in idle.values_mut() {
             kept.retain(|released| released.is_fresh(now));
@@ -77,14 +77,14 @@
     }
 
     /// Closes the idle connections to an upstream that is gone.
-    pub fn forget(&self, upstream: &str) {
+    pub fn close_idle(&self, upstream: &str) {
         self.idle.lock().retain(|incarnation, _| *incarnation.id != *upstream);
     }
 
     /// Closes every connection, also in use, to earlier starts of an upstream.
-    pub fn cut_others(&self, incarnation: &Incarnation) {
+    pub fn close_other_incarnations(&self, incarnation: &Incarnation) {
         self.idle.lock().retain(|other, _| other.id != incarnation.id || other == incarnation);
-        self.open.cut_others(incarnation);
+        self.open.close_other_incarnations(incarnation);
     }
 }
 
--- a/teaselworks/src/relay/upstream_connection.rs
+++ b/teaselworks/src/relay/upstream_connection.rs
@@ -171,7 +171,7 @@
     }
 
     /// Ends the connections to other starts of an upstream than this one.
-    pub(super) fn cut_others(&self, incarnation: &Incarnation) {
+    pub(super) fn close_other_incarnations(&self, incarnation: &Incarnation) {
         for handle in self.lock().get(&incarnation.id).into_iter().flatten() {
             if handle.incarnation == *incarnation {
                 continue;
