--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -1,4 +1,5 @@
-//! One request of a caller, from its head to the head of its answer.
+//! Serves one request of a caller: checks it, sends it to upstreams until one answers, and returns
+//! the response.
 
 use std::sync::Arc;
 
@@ -22,14 +23,16 @@
 use super::stream::{self, Streaming};
 use crate::platform::headers;
 
-/// Time after which a caller that came before the configuration was known should come back: a
-/// router that starts knows it within a fraction of a second.
-const START_RETRY: std::time::Duration = std::time::Duration::from_millis(500);
-/// Largest answer that is held until it is whole, so that one that breaks off can be had again or
-/// be told from a whole one.
-const HELD_ANSWER_SIZE_BYTES: usize = 256 << 10;
+/// Retry-after time of requests that are refused because no configuration is known yet. A router
+/// that starts up receives the configuration within a fraction of a second.
+const STARTUP_RETRY_AFTER: std::time::Duration = std::time::Duration::from_millis(500);
+/// Size up to which an answer is buffered until it is complete. If a buffered answer breaks off,
+/// the request can be retried, or the caller gets an error status instead of a truncated answer.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 << 10;
 
-/// Answers one request; tells `activity` where all of it was read.
+/// Serves one request and returns the response.
+///
+/// Marks the caller's connection as reusable in `activity` if the request body was read to its end.
 pub(super) async fn serve(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -40,19 +43,19 @@
         Ok(facts) => facts,
         Err(_) => {
             let progress = Progress::begin(shared, "".into());
-            return refuse(progress, None, &plain(RefusalReason::Malformed), 0, None);
+            return refuse(progress, None, &not_run_refusal(RefusalReason::Malformed), 0, None);
         }
     };
     let id = facts.id.clone();
     let mut progress = Progress::begin(shared.clone(), id.clone());
     let Some(configuration) = shared.configuration().await else {
-        let refusal = Refusal::not_run(RefusalReason::NoConfiguration, Some(START_RETRY));
+        let refusal = Refusal::not_run(RefusalReason::NoConfiguration, Some(STARTUP_RETRY_AFTER));
         return refuse(progress, Some(&id), &refusal, 0, None);
     };
     let version = Some(configuration.version);
     let mut prepared = match request::check(head, facts, &configuration, shared.now()) {
         Ok(prepared) => prepared,
-        Err(reason) => return refuse(progress, Some(&id), &plain(reason), 0, version),
+        Err(reason) => return refuse(progress, Some(&id), &not_run_refusal(reason), 0, version),
     };
     progress.set_route(prepared.route.name.clone(), prepared.route.kind);
     if let Err(refusal) = shared.admit(&prepared.route.name, &prepared.deadline) {
@@ -70,14 +73,16 @@
     }
     match body {
         Ok(body) => RequestState::new(shared, prepared, configuration, body).run(progress).await,
-        Err(reason) => refuse(progress, Some(&id), &plain(reason), 0, version),
+        Err(reason) => refuse(progress, Some(&id), &not_run_refusal(reason), 0, version),
     }
 }
 
-fn plain(reason: RefusalReason) -> Refusal {
+/// Returns a refusal of a request that was not run, without a retry-after time.
+fn not_run_refusal(reason: RefusalReason) -> Refusal {
     Refusal::not_run(reason, None)
 }
 
+/// Records the refusal and returns the router's own response for it.
 fn refuse(
     progress: Progress,
     id: Option<&str>,
@@ -93,35 +98,39 @@
     response
 }
 
-/// An answer that an upstream gave whole.
-struct Whole {
+/// The complete answer of an upstream.
+struct CompleteAnswer {
     upstream: Arc<str>,
     status: StatusCode,
     headers: HeaderMap,
     bytes: Bytes,
 }
 
-/// What an attempt brought.
-enum Received {
-    Whole(Whole),
-    Begun(Box<Streaming>),
-    Failed(Failure, Option<Whole>),
+/// Result of one attempt.
+enum AttemptResult {
+    /// The answer is complete and can be forwarded.
+    Complete(CompleteAnswer),
+    /// The answer is forwarded while it arrives.
+    Stream(Box<Streaming>),
+    /// The attempt failed. The upstream's own error answer is kept if it is complete.
+    Failed(Failure, Option<CompleteAnswer>),
 }
 
 impl RequestState {
+    /// Sends the request to one upstream after the other until one answers or no retry is allowed.
     async fn run(mut self, mut progress: Progress) -> Response<Outgoing> {
-        // The last failure that an upstream answered itself; it is passed on where nothing better
-        // follows.
-        let mut failed: Option<Whole> = None;
+        // Last complete error answer of an upstream. The caller gets it if no later attempt
+        // succeeds.
+        let mut last_error_answer: Option<CompleteAnswer> = None;
         loop {
             let placement = match self.place(None) {
                 Ok(placement) => placement,
-                Err(refusal) => return self.give_up(progress, failed, refusal),
+                Err(refusal) => return self.give_up(progress, last_error_answer, refusal),
             };
             let in_flight = self.in_flight(&placement);
             let Some((body, size_bytes)) = self.body.for_attempt() else {
                 let refusal = Refusal::may_have_run(RefusalReason::UpstreamFailed);
-                return self.give_up(progress, failed, refusal);
+                return self.give_up(progress, last_error_answer, refusal);
             };
             let mut attempt = Attempt {
                 shared: &self.shared,
@@ -132,38 +141,39 @@
                 was_sent: false,
             };
             let answer = {
-                let silence = self.prepared.route.silence_timeout();
-                let mut running = std::pin::pin!(attempt.run(body, size_bytes));
-                match tokio::time::timeout(silence, running.as_mut()).await {
+                let silence_timeout = self.prepared.route.silence_timeout();
+                let mut answer_future = std::pin::pin!(attempt.run(body, size_bytes));
+                match tokio::time::timeout(silence_timeout, answer_future.as_mut()).await {
                     Ok(answer) => answer,
                     Err(_) if self.takes_repeat() => Err(Failure::Silent),
-                    Err(_) => running.await,
+                    Err(_) => answer_future.await,
                 }
             };
-            let (failure, whole) = match self.receive(answer, in_flight, &mut progress).await {
-                Received::Whole(whole) => return self.pass_on(progress, whole),
-                Received::Begun(streaming) => return stream::respond(*streaming, self, progress),
-                Received::Failed(failure, whole) => (failure, whole),
+            let (failure, error_answer) = match self.receive(answer, in_flight, &mut progress).await
+            {
+                AttemptResult::Complete(answer) => return self.forward(progress, answer),
+                AttemptResult::Stream(answer) => return stream::respond(*answer, self, progress),
+                AttemptResult::Failed(failure, error_answer) => (failure, error_answer),
             };
-            failed = whole.or(failed);
+            last_error_answer = error_answer.or(last_error_answer);
             if let Err(refusal) = self.next(failure, false) {
-                return self.give_up(progress, failed, refusal);
+                return self.give_up(progress, last_error_answer, refusal);
             }
         }
     }
 
-    /// Judges what came back, and reads a whole answer to its end.
+    /// Reports the outcome of an attempt to the fleet, and reads the answer unless it is a stream.
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
         mut in_flight: InFlight,
         progress: &mut Progress,
-    ) -> Received {
+    ) -> AttemptResult {
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => {
                 in_flight.observe(symptom(failure));
-                return Received::Failed(failure, None);
+                return AttemptResult::Failed(failure, None);
             }
         };
         progress.first_byte();
@@ -173,12 +183,18 @@
         }
         let is_stream = self.prepared.route.kind == Kind::Stream && answer.status.is_success();
         if is_stream {
-            return Received::Begun(Box::new(Streaming::new(answer, in_flight, Bytes::new())));
+            return AttemptResult::Stream(Box::new(Streaming::new(
+                answer,
+                in_flight,
+                Bytes::new(),
+            )));
         }
-        self.read_whole(answer, in_flight).await
+        self.read_to_end(answer, in_flight).await
     }
 
-    async fn read_whole(&mut self, mut answer: Answer, mut in_flight: InFlight) -> Received {
+    /// Reads the answer to its end within the deadline. An answer larger than
+    /// [`MAX_BUFFERED_ANSWER_BYTES`] is forwarded while the rest of it arrives.
+    async fn read_to_end(&mut self, mut answer: Answer, mut in_flight: InFlight) -> AttemptResult {
         let mut bytes = BytesMut::new();
         loop {
             let remaining = self.prepared.deadline.remaining(self.shared.now());
@@ -188,12 +204,12 @@
                 Ok(None) if !answer.connection.was_cut() => break,
                 Ok(None | Some(Err(_))) | Err(_) => {
                     in_flight.observe(RequestOutcome::NoAnswer);
-                    return Received::Failed(Failure::Broken, None);
+                    return AttemptResult::Failed(Failure::Broken, None);
                 }
             };
             bytes.extend_from_slice(&data);
-            if bytes.len() > HELD_ANSWER_SIZE_BYTES {
-                return Received::Begun(Box::new(Streaming::new(
+            if bytes.len() > MAX_BUFFERED_ANSWER_BYTES {
+                return AttemptResult::Stream(Box::new(Streaming::new(
                     answer,
                     in_flight,
                     bytes.freeze(),
@@ -205,39 +221,45 @@
             connection.release(self.shared.now());
         }
         let upstream = in_flight.upstream().clone();
-        let whole = Whole { upstream, status, headers, bytes: bytes.freeze() };
-        if !status.is_server_error() && !is_promise(status) {
+        let answer = CompleteAnswer { upstream, status, headers, bytes: bytes.freeze() };
+        if !status.is_server_error() && !is_not_run_status(status) {
             in_flight.observe(RequestOutcome::Answered);
-            return Received::Whole(whole);
+            return AttemptResult::Complete(answer);
         }
         in_flight.observe(RequestOutcome::Error);
-        Received::Failed(Failure::Failed, Some(whole))
+        AttemptResult::Failed(Failure::Failed, Some(answer))
     }
 
+    /// Ends the request without success: forwards the last error answer of an upstream or refuses
+    /// the request.
+    ///
+    /// An error answer whose status means that the request was not run is not forwarded, since the
+    /// attempt may have run it.
     fn give_up(
         self,
         progress: Progress,
-        failed: Option<Whole>,
+        last_error_answer: Option<CompleteAnswer>,
         refusal: Refusal,
     ) -> Response<Outgoing> {
-        if let Some(whole) = failed.filter(|whole| !is_promise(whole.status)) {
-            return self.pass_on(progress, whole);
+        if let Some(answer) = last_error_answer.filter(|answer| !is_not_run_status(answer.status)) {
+            return self.forward(progress, answer);
         }
         let refusal = self.honest(refusal);
         let version = Some(self.configuration.version);
         refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
     }
 
-    fn pass_on(&self, progress: Progress, whole: Whole) -> Response<Outgoing> {
-        progress.answered(whole.status.as_u16(), &whole.upstream, self.attempts());
-        let mut response = Response::new(body::whole(whole.bytes));
-        *response.status_mut() = whole.status;
-        *response.headers_mut() = whole.headers;
+    /// Forwards a complete answer to the caller.
+    fn forward(&self, progress: Progress, answer: CompleteAnswer) -> Response<Outgoing> {
+        progress.answered(answer.status.as_u16(), &answer.upstream, self.attempts());
+        let mut response = Response::new(body::whole(answer.bytes));
+        *response.status_mut() = answer.status;
+        *response.headers_mut() = answer.headers;
         response
     }
 }
 
-/// Tells whether callers take a status as a promise that the request was not run.
-fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers conclude from the status that the request was not run.
+fn is_not_run_status(status: StatusCode) -> bool {
     [408, 421, 429, 503].contains(&status.as_u16())
 }
