--- a/teaselworks/src/relay/request_state.rs
+++ b/teaselworks/src/relay/request_state.rs
@@ -1,4 +1,4 @@
-//! The state of one request over its attempts, and the decisions that it asks for.
+//! The state of one request across its attempts, and the decisions on placement and retries.
 
 use std::sync::Arc;
 
@@ -14,13 +14,15 @@
 use super::request::{Prepared, RequestBody};
 use crate::event;
 
-/// A request that is being served.
+/// State of a request that is being served, across all its attempts.
 pub(super) struct RequestState {
     pub(super) shared: Arc<Shared>,
     pub(super) prepared: Prepared,
     pub(super) configuration: Arc<Configuration>,
     pub(super) body: RequestBody,
+    /// Identifiers of the upstreams that were chosen so far, in order.
     tried: Vec<Arc<str>>,
+    /// Number of failed attempts that may have run the request.
     runs: u32,
 }
 
@@ -34,12 +36,14 @@
         Self { shared, prepared, configuration, body, tried: Vec::new(), runs: 0 }
     }
 
-    /// Returns the number of upstreams that the request was sent to.
+    /// Returns the number of attempts so far.
     pub(super) fn attempts(&self) -> u32 {
         u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
     }
 
-    /// Chooses an upstream.
+    /// Chooses the upstream for the next attempt, or refuses the request.
+    ///
+    /// `resumed_after` is the identifier of the last complete event of a stream that is resumed.
     pub(super) fn place(&mut self, resumed_after: Option<&str>) -> Result<Placement, Refusal> {
         let now = self.shared.now();
         let deadline = &self.prepared.deadline;
@@ -53,7 +57,7 @@
             has_started: resumed_after.is_some() || self.runs > 0,
         };
         let mut placement = self.shared.fleet().place(now, &self.prepared.service, &request)?;
-        placement.holder = placement.holder.filter(|_| self.copies_prompts());
+        placement.holder = placement.holder.filter(|_| self.has_kv_transfer());
         let report_age = placement.report_age.map_or(-1, |age| age.as_millis() as i64);
         event::REQUEST_PLACED.log(&[
             event::text("request", &self.prepared.facts.id),
@@ -77,13 +81,15 @@
         Ok(placement)
     }
 
-    /// Tells whether the engines of the service can copy prompts from each other.
-    fn copies_prompts(&self) -> bool {
+    /// Returns whether the engines of the service can transfer the key-value cache of prompt parts
+    /// to each other.
+    fn has_kv_transfer(&self) -> bool {
         let service = self.configuration.services.get(&self.prepared.service);
         service.is_some_and(|service| service.has_kv_transfer)
     }
 
-    /// Lets go of the request once its answer has begun, unless another upstream may go on with it.
+    /// Frees the body and headers of the request once its answer has begun, unless another upstream
+    /// may still have to resume the answer.
     pub(super) fn release_request(&mut self) {
         let route = &self.prepared.route;
         if route.is_idempotent() && self.runs + 1 < route.max_attempts {
@@ -93,21 +99,29 @@
         self.prepared.headers = HeaderMap::new();
     }
 
-    /// Takes over the count of a placement.
-    pub(super) fn in_flight(&self, placement: &Placement) -> InFlight {
+    /// Returns a guard that counts the request as in flight at the upstream until it is dropped.
+    pub(super) fn track_in_flight(&self, placement: &Placement) -> InFlight {
         InFlight::new(self.shared.clone(), self.prepared.service.clone(), placement)
     }
 
-    /// Decides what follows a failed attempt, or a stream that broke off; a refusal where nothing
-    /// does.
-    pub(super) fn next(&mut self, failure: Failure, is_begun: bool) -> Result<(), Refusal> {
+    /// Decides whether another attempt follows a failed one; `has_begun` if the answer had already
+    /// begun and would be resumed.
+    ///
+    /// Takes the retry from the retry budget if the decision requires that. Returns the refusal of
+    /// the request as the error if no attempt follows.
+    pub(super) fn authorize_retry(
+        &mut self,
+        failure: Failure,
+        has_begun: bool,
+    ) -> Result<(), Refusal> {
         if failure.verdict() == Verdict::MayHaveRun {
             self.runs += 1;
         }
         let now = self.shared.now();
-        // A body that was sent on while it arrived is gone: no other upstream can be offered it.
+        // A body that was forwarded while it arrived is not buffered and can't be sent to another
+        // upstream. The maximum count rules out a retry.
         let tried_count = if self.body.is_held() { self.attempts() } else { u32::MAX };
-        let attempts = AttemptHistory {
+        let history = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
             tried_count,
             runs: self.runs,
@@ -117,8 +131,8 @@
         let max_retry_after = self.prepared.deadline.max_retry_after(now);
         let service = &self.prepared.service;
         let mut fleet = self.shared.fleet();
-        let (reason, is_budgeted) = match decide_retry(failure, &attempts) {
-            Decision::Retry { is_budgeted, .. } if is_begun => (RetryReason::Resumed, is_budgeted),
+        let (reason, is_budgeted) = match decide_retry(failure, &history) {
+            Decision::Retry { is_budgeted, .. } if has_begun => (RetryReason::Resumed, is_budgeted),
             Decision::Retry { reason, is_budgeted } => (reason, is_budgeted),
             Decision::GiveUp(mut refusal) => {
                 if refusal.verdict == Verdict::NotRun {
@@ -130,13 +144,14 @@
                 return Err(refusal);
             }
         };
-        let is_paid = failure == Failure::Silent;
-        if is_budgeted && !is_paid && !fleet.try_take_retry(now, service) {
+        // `try_take_silence_retry` took the retry from the budget when it abandoned the attempt.
+        let is_already_taken = failure == Failure::Silent;
+        if is_budgeted && !is_already_taken && !fleet.try_take_retry(now, service) {
             let retry_after = fleet.schedule_retry_after(now, service, max_retry_after);
             drop(fleet);
             let refusal = Refusal::not_run(RefusalReason::RetryBudget, Some(retry_after));
             self.log_failure(failure, &refusal);
-            return Err(self.honest(refusal));
+            return Err(self.correct_verdict(refusal));
         }
         drop(fleet);
         self.shared.metrics.add_retry(reason);
@@ -149,9 +164,9 @@
         Ok(())
     }
 
-    /// Tells whether a silent attempt is given up for another one, and takes that from the retry
-    /// budget. Silence alone is no reason to end a request.
-    pub(super) fn takes_repeat(&self) -> bool {
+    /// Returns whether to abandon a silent attempt for a retry, and if so takes the retry from the
+    /// retry budget. Otherwise the attempt goes on: silence alone doesn't end a request.
+    pub(super) fn try_take_silence_retry(&self) -> bool {
         let route = &self.prepared.route;
         let now = self.shared.now();
         let remaining = self.prepared.deadline.remaining(now);
@@ -163,7 +178,7 @@
             && self.shared.fleet().try_take_retry(now, &self.prepared.service)
     }
 
-    /// Logs a failed attempt that no other follows.
+    /// Logs a failed attempt that is not retried.
     fn log_failure(&self, failure: Failure, refusal: &Refusal) {
         event::ATTEMPT_FAILED.log(&[
             event::text("request", &self.prepared.facts.id),
@@ -176,8 +191,9 @@
         ]);
     }
 
-    /// Turns a refusal into one that does not promise what an earlier attempt may have broken.
-    pub(super) fn honest(&self, refusal: Refusal) -> Refusal {
+    /// Replaces a refusal that says that the request was not run if an earlier attempt may have run
+    /// it.
+    pub(super) fn correct_verdict(&self, refusal: Refusal) -> Refusal {
         if self.runs == 0 || refusal.verdict == Verdict::MayHaveRun {
             return refusal;
         }
@@ -185,11 +201,11 @@
     }
 }
 
-/// Returns what a failure says of the upstream.
-pub(super) fn symptom(failure: Failure) -> RequestOutcome {
+/// Returns the outcome that a failure counts as for the health of the upstream.
+pub(super) fn request_outcome(failure: Failure) -> RequestOutcome {
     match failure {
-        // A replica that is full and one that is ill turn requests away alike; against its peers the
-        // ill one does so more often.
+        // Overloaded and faulty replicas both reject requests. A faulty one stands out because it
+        // does so more often than the other replicas of its service.
         Failure::Rejected | Failure::Failed => RequestOutcome::Error,
         Failure::Unreachable
         | Failure::NotSent
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -19,7 +19,7 @@
 use super::io::Activity;
 use super::outcome::Progress;
 use super::request::{self, RequestBody};
-use super::request_state::{RequestState, symptom};
+use super::request_state::{RequestState, request_outcome};
 use super::stream::{self, Streaming};
 use crate::platform::headers;
 
@@ -127,7 +127,7 @@
                 Ok(placement) => placement,
                 Err(refusal) => return self.give_up(progress, last_error_answer, refusal),
             };
-            let in_flight = self.in_flight(&placement);
+            let in_flight = self.track_in_flight(&placement);
             let Some((body, size_bytes)) = self.body.for_attempt() else {
                 let refusal = Refusal::may_have_run(RefusalReason::UpstreamFailed);
                 return self.give_up(progress, last_error_answer, refusal);
@@ -145,7 +145,7 @@
                 let mut answer_future = std::pin::pin!(attempt.run(body, size_bytes));
                 match tokio::time::timeout(silence_timeout, answer_future.as_mut()).await {
                     Ok(answer) => answer,
-                    Err(_) if self.takes_repeat() => Err(Failure::Silent),
+                    Err(_) if self.try_take_silence_retry() => Err(Failure::Silent),
                     Err(_) => answer_future.await,
                 }
             };
@@ -156,13 +156,14 @@
                 AttemptResult::Failed(failure, error_answer) => (failure, error_answer),
             };
             last_error_answer = error_answer.or(last_error_answer);
-            if let Err(refusal) = self.next(failure, false) {
+            if let Err(refusal) = self.authorize_retry(failure, false) {
                 return self.give_up(progress, last_error_answer, refusal);
             }
         }
     }
 
-    /// Reports the outcome of an attempt to the fleet, and reads the answer unless it is a stream.
+    /// Tells the fleet about the failure of the attempt or the load that the upstream reports, and
+    /// reads the answer to its end unless it is a stream.
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
@@ -172,7 +173,7 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => {
-                in_flight.observe(symptom(failure));
+                in_flight.observe(request_outcome(failure));
                 return AttemptResult::Failed(failure, None);
             }
         };
@@ -244,7 +245,7 @@
         if let Some(answer) = last_error_answer.filter(|answer| !is_not_run_status(answer.status)) {
             return self.forward(progress, answer);
         }
-        let refusal = self.honest(refusal);
+        let refusal = self.correct_verdict(refusal);
         let version = Some(self.configuration.version);
         refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
     }
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -18,7 +18,7 @@
 use super::body::{BodyError, Outgoing};
 use super::in_flight::InFlight;
 use super::outcome::Progress;
-use super::request_state::{RequestState, symptom};
+use super::request_state::{RequestState, request_outcome};
 use super::upstream_connection::Connection;
 
 /// Media type of server-sent events.
@@ -174,7 +174,7 @@
             return Ok(());
         }
         self.silence.as_mut().reset(Instant::now() + longest);
-        if self.splitter.is_some() && self.request_state.takes_repeat() {
+        if self.splitter.is_some() && self.request_state.try_take_silence_retry() {
             self.resume(Failure::Silent).await?;
             self.last_at = self.request_state.shared.now();
         }
@@ -195,10 +195,10 @@
         splitter.drop_part();
         let last_id = splitter.last_id().map(str::to_owned);
         loop {
-            self.request_state.next(failure, true).map_err(|_| BodyError::Broken)?;
+            self.request_state.authorize_retry(failure, true).map_err(|_| BodyError::Broken)?;
             let after = last_id.as_deref();
             let placement = self.request_state.place(after).map_err(|_| BodyError::Broken)?;
-            let mut in_flight = self.request_state.in_flight(&placement);
+            let mut in_flight = self.request_state.track_in_flight(&placement);
             let (body, size_bytes) =
                 self.request_state.body.for_attempt().ok_or(BodyError::Broken)?;
             let mut attempt = Attempt {
@@ -217,7 +217,7 @@
                     continue;
                 }
                 Err(attempt_failure) => {
-                    in_flight.observe(symptom(attempt_failure));
+                    in_flight.observe(request_outcome(attempt_failure));
                     failure = attempt_failure;
                     continue;
                 }
