--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one upstream, up to the head of its answer.
+//! Sends a request to one upstream and waits for the head of the answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use super::upstream_connection::Connection;
 use crate::platform::headers::{self, AnswerFacts, Passing};
 
-/// An answer whose head was checked: it belongs to the request.
+/// The answer of an upstream, whose head was checked to belong to the request.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
@@ -25,21 +25,23 @@
     pub(super) connection: Connection,
 }
 
-/// A request on its way to an upstream.
+/// One attempt to have a request answered by an upstream.
 pub(super) struct Attempt<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) prepared: &'a Prepared,
     pub(super) upstream: &'a Upstream,
-    /// Upstream that may hold more of the prompt.
+    /// Address of an upstream that may have more of the prompt in its key-value cache.
     pub(super) holder: Option<SocketAddr>,
-    /// Event after which a stream goes on.
+    /// Identifier of the event after which a stream is resumed.
     pub(super) last_event_id: Option<&'a str>,
-    /// A byte of the request may have been written.
+    /// Whether any byte of the request may have been written to the connection.
     pub(super) was_sent: bool,
 }
 
 impl Attempt<'_> {
-    /// Sends the request and waits for the head of its answer until the request's time has passed.
+    /// Sends the request and waits for the head of the answer until the request's deadline.
+    ///
+    /// `size_bytes` is the length to send as `content-length` if the body doesn't state it itself.
     pub(super) async fn run(
         &mut self,
         body: Outgoing,
@@ -54,35 +56,41 @@
         }
     }
 
+    /// Sends the request on an idle connection. If there is none, or it was closed before any byte of
+    /// the request was written, opens a new one.
     async fn exchange(
         &mut self,
         body: Outgoing,
         size_bytes: Option<u64>,
     ) -> Result<Answer, Failure> {
-        let mut request = self.request(body, size_bytes);
+        let mut request = self.build_request(body, size_bytes);
         let now = self.shared.now();
         let incarnation = self.upstream.incarnation();
         if let Some(connection) = self.shared.connections.take(now, &incarnation).await {
             match self.send(connection, request).await {
                 Ok(answer) => return answer,
-                // Its upstream had closed it: the request is whole and goes on a new one.
+                // The upstream had closed the connection: no byte of the request was written, so it
+                // can be sent on a new connection.
                 Err(unsent) => request = *unsent,
             }
         }
-        let connection = self.open(&incarnation).await.map_err(|_| Failure::Unreachable)?;
+        let connection =
+            self.open_connection(&incarnation).await.map_err(|_| Failure::Unreachable)?;
         match self.send(connection, request).await {
             Ok(answer) => answer,
             Err(_unsent) => Err(Failure::NotSent),
         }
     }
 
-    async fn open(&self, incarnation: &Incarnation) -> io::Result<Connection> {
-        let began = self.shared.now();
-        let longest = self.shared.fleet().connect_times.timeout();
-        let opened = self.shared.connections.open(incarnation, longest).await;
-        let took = self.shared.now().saturating_sub(began);
+    /// Opens a connection, and records how long that took, from which the connect timeout of later
+    /// connections follows.
+    async fn open_connection(&self, incarnation: &Incarnation) -> io::Result<Connection> {
+        let started_at = self.shared.now();
+        let connect_timeout = self.shared.fleet().connect_times.timeout();
+        let opened = self.shared.connections.open(incarnation, connect_timeout).await;
+        let elapsed = self.shared.now().saturating_sub(started_at);
         match &opened {
-            Ok(_) => self.shared.fleet().connect_times.on_opened(took),
+            Ok(_) => self.shared.fleet().connect_times.on_opened(elapsed),
             Err(error) if error.kind() == io::ErrorKind::TimedOut => {
                 self.shared.fleet().connect_times.on_timeout();
             }
@@ -91,7 +99,8 @@
         opened
     }
 
-    /// Sends the request on a connection; returns it where not a byte of it was written.
+    /// Sends the request on a connection. The outer error returns the request if no byte of it was
+    /// written.
     async fn send(
         &mut self,
         mut connection: Connection,
@@ -112,13 +121,14 @@
         let (head, body) = answer.into_parts();
         let facts = headers::read_answer(head.status.as_u16(), &head.headers);
         connection.set_keep_alive(facts.keep_alive);
-        let checked = check(&facts, head.status, &self.prepared.facts.id);
+        let checked = check_answer(&facts, head.status, &self.prepared.facts.id);
         let headers = headers::answered(&head.headers);
         let answer = Answer { status: head.status, headers, facts, body, connection };
         Ok(checked.map(|()| answer))
     }
 
-    fn request(&self, body: Outgoing, size_bytes: Option<u64>) -> Request<Outgoing> {
+    /// Builds the request that is sent to the upstream.
+    fn build_request(&self, body: Outgoing, size_bytes: Option<u64>) -> Request<Outgoing> {
         let prepared = self.prepared;
         let passing = Passing {
             upstream: &self.upstream.id,
@@ -140,12 +150,14 @@
     }
 }
 
-/// Checks that an answer is one to the request, and that it was run; an upstream may send a second
-/// answer on a kept connection.
-fn check(facts: &AnswerFacts, status: StatusCode, request_id: &str) -> Result<(), Failure> {
+/// Checks that an answer belongs to the request and that the upstream ran the request.
+///
+/// An answer can belong to another request: an upstream may send a second answer to an earlier
+/// request on a kept-alive connection.
+fn check_answer(facts: &AnswerFacts, status: StatusCode, request_id: &str) -> Result<(), Failure> {
     let is_foreign = match &facts.id {
         Some(id) => **id != *request_id,
-        // An upstream that turns a request away may not have read its identifier.
+        // An upstream that rejects a request may do so before it has read the identifier.
         None => !facts.is_not_run,
     };
     if is_foreign {
@@ -154,8 +166,8 @@
     if facts.is_not_run {
         return Err(if facts.is_moved { Failure::Moved } else { Failure::Rejected });
     }
-    let is_unsigned = !facts.is_signed || facts.is_encoded;
-    if is_unsigned && status.is_success() {
+    let is_unverified = !facts.is_signed || facts.is_encoded;
+    if is_unverified && status.is_success() {
         return Err(Failure::Foreign);
     }
     if !facts.is_signed {
