--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Sends the request on an idle connection. If there is none, or it was closed before any byte of
-    /// the request was written, opens a new one.
+    /// Sends the request on an idle connection. If there is none, or it was closed before any byte
+    /// of the request was written, opens a new one.
     async fn exchange(
         &mut self,
         body: Outgoing,
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What every request of a router shares.
+//! State of the router that all requests share.
 
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
@@ -17,31 +17,33 @@
 use crate::kernel::{Shutdown, ShutdownPhase};
 use crate::metrics::Metrics;
 
-/// Time since its start for which a router keeps requests waiting for its first configuration, which it
-/// usually has within some tens of milliseconds: a caller that is refused loses more.
-const START_WAIT: Duration = Duration::from_millis(300);
+/// Time after the start of the router up to which requests wait for the first configuration. It
+/// usually arrives within some tens of milliseconds; a refused caller would lose more time.
+const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// State and services that every request uses.
 pub struct Shared {
-    /// Clock.
+    /// Clock that all times of requests are read from.
     pub clock: Arc<dyn Clock>,
     /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// Idle connections to upstreams.
+    /// Pool of connections to upstreams.
     pub connections: ConnectionPool,
-    /// Phase of a planned stop.
+    /// Current phase of a planned stop.
     pub shutdown: Shutdown,
-    /// Plan of a planned stop and when that began.
+    /// Plan of the planned stop and the time at which the stop began.
     stop: OnceLock<(StopPlan, Duration)>,
-    /// Zone of this router.
+    /// Availability zone of this router.
     pub zone: Arc<str>,
     fleet: Mutex<Fleet>,
+    /// Time at which the router started.
     started: Duration,
-    is_configured: Notify,
+    /// Notified when a configuration is set.
+    configuration_set: Notify,
 }
 
 impl Shared {
-    /// Makes the state.
+    /// Creates the state of a router that starts now and has no configuration yet.
     pub fn new(
         clock: Arc<dyn Clock>,
         metrics: Arc<Metrics>,
@@ -53,52 +55,65 @@
         let stop = OnceLock::new();
         let started = clock.monotonic();
         let fleet = Mutex::new(fleet);
-        let is_configured = Notify::new();
-        Self { clock, metrics, connections, shutdown, stop, zone, fleet, started, is_configured }
+        let configuration_set = Notify::new();
+        Self {
+            clock,
+            metrics,
+            connections,
+            shutdown,
+            stop,
+            zone,
+            fleet,
+            started,
+            configuration_set,
+        }
     }
 
-    /// Puts a configuration in force; false where the one in force is as new.
+    /// Activates a configuration; returns false, and changes nothing, if the active one has the same
+    /// or a higher version.
     pub fn set_configuration(&self, configuration: Configuration) -> bool {
         let is_newer = self.fleet().set_configuration(configuration);
-        self.is_configured.notify_waiters();
+        self.configuration_set.notify_waiters();
         is_newer
     }
 
-    /// Returns the configuration in force; waits for the first one where the router has just started.
+    /// Returns the active configuration. Waits for the first one if the router has just started;
+    /// `None` if there is none by then.
     pub(super) async fn configuration(&self) -> Option<Arc<Configuration>> {
-        let configured = self.is_configured.notified();
+        let notified = self.configuration_set.notified();
         let known = self.fleet().configuration();
-        let left = (self.started + START_WAIT).saturating_sub(self.now());
-        if known.is_some() || left.is_zero() {
+        let remaining = (self.started + FIRST_CONFIGURATION_TIMEOUT).saturating_sub(self.now());
+        if known.is_some() || remaining.is_zero() {
             return known;
         }
-        // One that comes too late is met by the request that its caller then sends.
-        let _ = tokio::time::timeout(left, configured).await;
+        // A configuration that arrives after the timeout serves the caller's retry.
+        let _ = tokio::time::timeout(remaining, notified).await;
         self.fleet().configuration()
     }
 
-    /// Returns the time by the steady clock.
+    /// Returns the time of the monotonic clock.
     pub fn now(&self) -> Duration {
         self.clock.monotonic()
     }
 
-    /// Begins a planned stop; a second one changes nothing.
+    /// Begins a planned stop with `plan`. If a stop has already begun, its plan stays in force.
     pub fn begin_stop(&self, plan: StopPlan) {
         let _ = self.stop.set((plan, self.now()));
         self.shutdown.advance(ShutdownPhase::Announced);
     }
 
-    /// Refuses a request that a planned stop would cut.
+    /// Refuses a request that is expected to outlast a planned stop that has begun.
     pub(super) fn admit(&self, route: &Arc<str>, deadline: &Deadline) -> Result<(), Refusal> {
-        let Some((plan, began)) = self.stop.get() else { return Ok(()) };
+        let Some((plan, stop_began)) = self.stop.get() else { return Ok(()) };
         let now = self.now();
-        let elapsed = now.saturating_sub(*began);
-        let limit = deadline.remaining(now);
+        let elapsed = now.saturating_sub(*stop_began);
+        let remaining = deadline.remaining(now);
         let max_retry_after = deadline.max_retry_after(now);
-        self.fleet().admit_while_stopping(plan, elapsed, route, limit, max_retry_after)
+        self.fleet().admit_while_stopping(plan, elapsed, route, remaining, max_retry_after)
     }
 
-    /// Takes what other routers heard of upstreams.
+    /// Applies the observations of upstreams that other routers share, and counts and logs the
+    /// ejections and readmissions that follow.
     pub fn apply_observations(&self, observations: &SharedObservations) {
         let changes = self.fleet().apply_observations(self.now(), observations);
         for EjectionChange { upstream, is_ejected } in changes {
@@ -112,8 +127,8 @@
         }
     }
 
-    /// Locks the beliefs for one decision; nothing is awaited while they are locked.
+    /// Locks the state of the fleet for one decision. Don't hold the guard across an `.await`.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        self.fleet.lock().expect("no decision panics")
+        self.fleet.lock().expect("lock of the fleet state is poisoned: a decision panicked")
     }
 }
