--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -20,7 +20,7 @@
 use super::outcome::Progress;
 use super::request::{self, RequestBody};
 use super::request_state::{RequestState, request_outcome};
-use super::stream::{self, Streaming};
+use super::stream::{self, StreamingAnswer};
 use crate::platform::headers;
 
 /// Retry-after time of requests that are refused because no configuration is known yet. A router
@@ -111,7 +111,7 @@
     /// The answer is complete and can be forwarded.
     Complete(CompleteAnswer),
     /// The answer is forwarded while it arrives.
-    Stream(Box<Streaming>),
+    Stream(Box<StreamingAnswer>),
     /// The attempt failed. The upstream's own error answer is kept if it is complete.
     Failed(Failure, Option<CompleteAnswer>),
 }
@@ -184,7 +184,7 @@
         }
         let is_stream = self.prepared.route.kind == Kind::Stream && answer.status.is_success();
         if is_stream {
-            return AttemptResult::Stream(Box::new(Streaming::new(
+            return AttemptResult::Stream(Box::new(StreamingAnswer::new(
                 answer,
                 in_flight,
                 Bytes::new(),
@@ -210,7 +210,7 @@
             };
             bytes.extend_from_slice(&data);
             if bytes.len() > MAX_BUFFERED_ANSWER_BYTES {
-                return AttemptResult::Stream(Box::new(Streaming::new(
+                return AttemptResult::Stream(Box::new(StreamingAnswer::new(
                     answer,
                     in_flight,
                     bytes.freeze(),
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -1,4 +1,5 @@
-//! Passes on an answer while it arrives, and goes on at another upstream where one breaks off.
+//! Forwards an answer while it arrives, and resumes a stream of events at another upstream if it
+//! breaks off.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -24,54 +25,57 @@
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// An answer that has begun.
-pub(super) struct Streaming {
+/// An answer that is forwarded while it arrives.
+pub(super) struct StreamingAnswer {
     status: StatusCode,
     headers: HeaderMap,
     source: Source,
-    first: Bytes,
+    /// Part of the body that was already read.
+    buffered: Bytes,
 }
 
-/// Where an answer comes from at the moment.
+/// The upstream connection that an answer currently arrives on.
 struct Source {
     body: Incoming,
     connection: Connection,
-    closes: bool,
+    /// Whether the upstream closes the connection after this answer.
+    is_closing: bool,
     in_flight: InFlight,
 }
 
-impl Streaming {
-    /// Takes an answer of which `first` was read already.
-    pub(super) fn new(answer: Answer, in_flight: InFlight, first: Bytes) -> Self {
+impl StreamingAnswer {
+    /// Creates a streaming answer. `buffered` is the part of its body that was already read.
+    pub(super) fn new(answer: Answer, in_flight: InFlight, buffered: Bytes) -> Self {
         let Answer { status, headers, facts, body, connection } = answer;
-        let source = Source { body, connection, closes: facts.closes, in_flight };
-        Self { status, headers, source, first }
+        let source = Source { body, connection, is_closing: facts.closes, in_flight };
+        Self { status, headers, source, buffered }
     }
 
+    /// Returns whether the answer is a stream of server-sent events.
     fn has_events(&self) -> bool {
         let media_type = self.headers.get(header::CONTENT_TYPE).map(HeaderValue::as_bytes);
         media_type.is_some_and(|media_type| media_type.starts_with(EVENT_STREAM.as_bytes()))
     }
 }
 
-/// Answers with the head of an answer and a body that passes on the rest.
+/// Returns the response to the caller: the head of the answer, and a body that forwards the rest.
 pub(super) fn respond(
-    streaming: Streaming,
+    answer: StreamingAnswer,
     mut request_state: RequestState,
     progress: Progress,
 ) -> Response<Outgoing> {
     request_state.release_request();
-    let splitter = streaming.has_events().then(EventSplitter::default);
+    let splitter = answer.has_events().then(EventSplitter::default);
     let remaining = request_state.prepared.deadline.remaining(request_state.shared.now());
-    let Streaming { status, headers, source, first } = streaming;
+    let StreamingAnswer { status, headers, source, buffered } = answer;
     let relay = StreamRelay {
-        first: Some(first).filter(|first| !first.is_empty()),
+        buffered: Some(buffered).filter(|buffered| !buffered.is_empty()),
         status,
         source: Some(source),
         splitter,
-        deadline: Box::pin(tokio::time::sleep(remaining)),
-        silence: Box::pin(tokio::time::sleep(request_state.prepared.route.silence_timeout())),
-        last_at: request_state.shared.now(),
+        deadline_timer: Box::pin(tokio::time::sleep(remaining)),
+        silence_timer: Box::pin(tokio::time::sleep(request_state.prepared.route.silence_timeout())),
+        last_arrival: request_state.shared.now(),
         request_state,
         progress,
     };
@@ -84,7 +88,7 @@
                 None
             }
             Err(error) => {
-                relay.break_off(error);
+                relay.abort(error);
                 Some((Err(error), None))
             }
         }
@@ -95,30 +99,35 @@
     response
 }
 
-/// An answer on its way.
+/// Forwards the body of an answer to the caller.
 struct StreamRelay {
-    first: Option<Bytes>,
+    /// Part of the body that was already read and is yet to be forwarded.
+    buffered: Option<Bytes>,
     status: StatusCode,
+    /// `None` between the loss of one upstream and the answer of the next.
     source: Option<Source>,
+    /// Splits the body into whole events; `None` if it is not a stream of events and so can't be
+    /// resumed.
     splitter: Option<EventSplitter>,
-    /// Fires at the end of the request's time. One timer for the whole answer: one for each event
-    /// would cost more than passing it on.
-    deadline: Pin<Box<Sleep>>,
-    /// Fires when the answer may have been silent for too long; set again from the last arrival only
-    /// then.
-    silence: Pin<Box<Sleep>>,
-    last_at: Duration,
+    /// Fires at the request's deadline. There is one timer for the whole answer, since a timer for
+    /// each event would cost more than forwarding the event.
+    deadline_timer: Pin<Box<Sleep>>,
+    /// Fires when the silence timeout may have passed. It is not reset when data arrives; when it
+    /// fires, it is reset to the silence timeout after the last arrival.
+    silence_timer: Pin<Box<Sleep>>,
+    /// Time at which data last arrived.
+    last_arrival: Duration,
     request_state: RequestState,
     progress: Progress,
 }
 
 impl StreamRelay {
-    /// Returns what is to be sent next, or the end of the answer.
+    /// Returns the next data to forward; `None` at the end of the answer.
     async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
-            let data = match self.arriving().await? {
+            let data = match self.next_chunk().await? {
                 Some(data) => data,
-                None if self.has_part() => {
+                None if self.has_partial_event() => {
                     self.resume(Failure::Broken).await?;
                     continue;
                 }
@@ -134,27 +143,28 @@
         }
     }
 
-    /// Returns what arrives next, from another upstream where this one breaks off.
-    async fn arriving(&mut self) -> Result<Option<Bytes>, BodyError> {
-        if let Some(first) = self.first.take() {
-            return Ok(Some(first));
+    /// Returns the next data from the upstream; `None` at the end of the body. Resumes the answer
+    /// at another upstream if this one breaks off.
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, BodyError> {
+        if let Some(buffered) = self.buffered.take() {
+            return Ok(Some(buffered));
         }
         loop {
             let Some(source) = &mut self.source else { return Err(BodyError::Broken) };
             let frame = tokio::select! {
                 biased;
                 frame = source.body.frame() => frame,
-                () = &mut self.deadline => return Err(BodyError::Deadline),
-                () = &mut self.silence => {
+                () = &mut self.deadline_timer => return Err(BodyError::Deadline),
+                () = &mut self.silence_timer => {
                     self.on_silence().await?;
                     continue;
                 }
             };
-            self.last_at = self.request_state.shared.now();
+            self.last_arrival = self.request_state.shared.now();
             match frame {
                 None if source.connection.was_cut() => self.resume(Failure::Broken).await?,
                 None => return Ok(None),
-                // Trailers are for one connection only.
+                // Trailers concern only the upstream connection and are not forwarded.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => return Ok(Some(data)),
                     Err(_trailers) => {}
@@ -164,30 +174,33 @@
         }
     }
 
-    /// Goes on elsewhere where the answer has been silent for too long and may be resumed.
+    /// Resumes the answer at another upstream if no data has arrived within the silence timeout and
+    /// a retry is allowed. Otherwise sets the timer again.
     async fn on_silence(&mut self) -> Result<(), BodyError> {
-        let longest = self.request_state.prepared.route.silence_timeout();
+        let silence_timeout = self.request_state.prepared.route.silence_timeout();
         let now = self.request_state.shared.now();
-        let silent = now.saturating_sub(self.last_at);
-        if silent < longest {
-            self.silence.as_mut().reset(Instant::now() + (longest - silent));
+        let silent_for = now.saturating_sub(self.last_arrival);
+        if silent_for < silence_timeout {
+            self.silence_timer.as_mut().reset(Instant::now() + (silence_timeout - silent_for));
             return Ok(());
         }
-        self.silence.as_mut().reset(Instant::now() + longest);
+        self.silence_timer.as_mut().reset(Instant::now() + silence_timeout);
         if self.splitter.is_some() && self.request_state.try_take_silence_retry() {
             self.resume(Failure::Silent).await?;
-            self.last_at = self.request_state.shared.now();
+            self.last_arrival = self.request_state.shared.now();
         }
         Ok(())
     }
 
-    fn has_part(&self) -> bool {
+    /// Returns whether part of an event is held whose end has not arrived.
+    fn has_partial_event(&self) -> bool {
         self.splitter.as_ref().is_some_and(EventSplitter::holds_part)
     }
 
-    /// Goes on at another upstream after the last whole event.
+    /// Resumes the stream at another upstream after the last complete event. Fails if the answer is
+    /// not a stream of events or no retry is allowed.
     async fn resume(&mut self, mut failure: Failure) -> Result<(), BodyError> {
-        // The connection is closed before another upstream goes on with the work.
+        // Closes the connection, so that the old upstream stops before another one resumes.
         if let Some(mut source) = self.source.take() {
             source.in_flight.observe(RequestOutcome::NoAnswer);
         }
@@ -226,26 +239,26 @@
                 in_flight.report(load);
             }
             let Answer { facts, body, connection, .. } = answer;
-            self.source = Some(Source { body, connection, closes: facts.closes, in_flight });
+            self.source = Some(Source { body, connection, is_closing: facts.closes, in_flight });
             return Ok(());
         }
     }
 
-    /// Ends an answer that is whole, and keeps its connection.
+    /// Ends a complete answer, and keeps the connection for later requests if possible.
     fn finish(self) {
         let Self { source, request_state, progress, status, .. } = self;
-        let Some(Source { mut in_flight, connection, closes, body }) = source else { return };
+        let Some(Source { mut in_flight, connection, is_closing, body }) = source else { return };
         drop(body);
         in_flight.observe(RequestOutcome::Answered);
         let attempts = request_state.attempts();
         progress.answered(status.as_u16(), in_flight.upstream(), attempts);
-        if !closes {
+        if !is_closing {
             connection.release(request_state.shared.now());
         }
     }
 
-    /// Ends an answer that is not whole; its caller sees a broken connection.
-    fn break_off(self, cause: BodyError) {
+    /// Ends an incomplete answer; the caller's connection is closed before the end of the body.
+    fn abort(self, cause: BodyError) {
         let Self { source, request_state, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
         if let Some(mut source) = source.filter(|_| cause != BodyError::Deadline) {
