--- a/teaselworks/src/relay/connection_pool.rs
+++ b/teaselworks/src/relay/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept for later requests.
+//! Pool of connections to upstreams, which are kept open for later requests.
 
 use std::collections::HashMap;
 use std::io;
@@ -10,50 +10,54 @@
 use teaselworks_policy::upstream::Incarnation;
 use tokio::net::TcpStream;
 
-use super::upstream_connection::{Connection, OpenConnections, Released};
+use super::upstream_connection::{ActiveConnections, Connection, IdleConnection};
 use crate::metrics::Metrics;
 use crate::net;
 
-/// Idle connections kept to one upstream, whose limit all routers share.
-const IDLE_MAX: usize = 32;
+/// Maximum number of idle connections kept to one upstream, as all routers share the upstream's
+/// connection limit.
+const MAX_IDLE_PER_UPSTREAM: usize = 32;
 
-/// Connections to upstreams, of which idle ones are used again.
+/// Pool of connections to upstreams. Idle connections are reused.
 ///
-/// An idle one is a mere socket: the buffers of the HTTP library take far more than that.
+/// An idle connection is kept as a socket only, without the buffers of the HTTP library, which take
+/// far more memory.
 pub struct ConnectionPool {
     idle: Arc<IdleConnections>,
-    open: Arc<OpenConnections>,
+    active: Arc<ActiveConnections>,
     metrics: Arc<Metrics>,
 }
 
 impl ConnectionPool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(metrics: Arc<Metrics>) -> Self {
-        Self { idle: Arc::default(), open: Arc::default(), metrics }
+        Self { idle: Arc::default(), active: Arc::default(), metrics }
     }
 
-    /// Takes the connection to an upstream that was idle for the shortest time.
+    /// Takes the usable connection to an upstream that was idle for the shortest time, if there is
+    /// one.
     pub(super) async fn take(
         &self,
         now: Duration,
         incarnation: &Incarnation,
     ) -> Option<Connection> {
-        let Released { stream, keep_alive, .. } = self.idle.take(now, incarnation)?;
+        let IdleConnection { stream, keep_alive, .. } = self.idle.take(now, incarnation)?;
         self.start(incarnation, stream, keep_alive).await.ok()
     }
 
-    /// Opens a connection; fails where that takes longer than `longest`.
+    /// Opens a connection; fails if that takes longer than `connect_timeout`.
     pub(super) async fn open(
         &self,
         incarnation: &Incarnation,
-        longest: Duration,
+        connect_timeout: Duration,
     ) -> io::Result<Connection> {
-        let stream = net::connect_within(incarnation.address, longest).await?;
+        let stream = net::connect_within(incarnation.address, connect_timeout).await?;
         let connection = self.start(incarnation, stream, None).await?;
         self.metrics.add_connection();
         Ok(connection)
     }
 
+    /// Starts HTTP on a stream, which returns to the pool when the connection is released.
     async fn start(
         &self,
         incarnation: &Incarnation,
@@ -61,63 +65,65 @@
         keep_alive: Option<Duration>,
     ) -> io::Result<Connection> {
         let idle = self.idle.clone();
-        let on_released = move |released| idle.put(released);
-        Connection::start(incarnation, stream, keep_alive, &self.open, on_released)
+        let on_released = move |connection| idle.put(connection);
+        Connection::start(incarnation, stream, keep_alive, &self.active, on_released)
             .await
             .map_err(|error| io::Error::other(error.to_string()))
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes the idle connections that are no longer usable.
     pub fn close_expired(&self, now: Duration) {
         let mut idle = self.idle.lock();
-        for kept in idle.values_mut() {
-            kept.retain(|released| released.is_fresh(now));
+        for connections in idle.values_mut() {
+            connections.retain(|connection| connection.is_usable(now));
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes the idle connections to an upstream that is gone.
+    /// Closes the idle connections to an upstream.
     pub fn close_idle(&self, upstream: &str) {
         self.idle.lock().retain(|incarnation, _| *incarnation.id != *upstream);
     }
 
-    /// Closes every connection, also in use, to earlier starts of an upstream.
+    /// Closes all connections, idle and in use, to other incarnations of an upstream than
+    /// `incarnation`.
     pub fn close_other_incarnations(&self, incarnation: &Incarnation) {
         self.idle.lock().retain(|other, _| other.id != incarnation.id || other == incarnation);
-        self.open.close_other_incarnations(incarnation);
+        self.active.close_other_incarnations(incarnation);
     }
 }
 
+/// Idle connections by the incarnation of their upstream, the most recently used last.
 #[derive(Debug, Default)]
-struct IdleConnections(Mutex<HashMap<Incarnation, Vec<Released>>>);
+struct IdleConnections(Mutex<HashMap<Incarnation, Vec<IdleConnection>>>);
 
 impl IdleConnections {
-    fn take(&self, now: Duration, incarnation: &Incarnation) -> Option<Released> {
+    fn take(&self, now: Duration, incarnation: &Incarnation) -> Option<IdleConnection> {
         let mut idle = self.lock();
-        let kept = idle.get_mut(incarnation)?;
-        while let Some(released) = kept.pop() {
-            if released.is_fresh(now) && is_quiet(&released.stream) {
-                return Some(released);
+        let connections = idle.get_mut(incarnation)?;
+        while let Some(connection) = connections.pop() {
+            if connection.is_usable(now) && is_open_and_silent(&connection.stream) {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn put(&self, released: Released) {
+    fn put(&self, connection: IdleConnection) {
         let mut idle = self.lock();
-        let kept = idle.entry(released.incarnation.clone()).or_default();
-        if kept.len() < IDLE_MAX {
-            kept.push(released);
+        let connections = idle.entry(connection.incarnation.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(connection);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Vec<Released>>> {
-        self.0.lock().expect("the pool's lock is never poisoned")
+    fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Vec<IdleConnection>>> {
+        self.0.lock().expect("lock of the idle connections is poisoned")
     }
 }
 
-/// Tells whether the upstream has neither closed the connection nor sent what nobody asked for.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Returns whether the upstream has neither closed the connection nor sent unrequested data.
+fn is_open_and_silent(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -202,7 +202,7 @@
             let frame = tokio::time::timeout(remaining, answer.body.frame()).await;
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-                Ok(None) if !answer.connection.was_cut() => break,
+                Ok(None) if !answer.connection.was_aborted() => break,
                 Ok(None | Some(Err(_))) | Err(_) => {
                     in_flight.observe(RequestOutcome::NoAnswer);
                     return AttemptResult::Failed(Failure::Broken, None);
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -162,7 +162,7 @@
             };
             self.last_arrival = self.request_state.shared.now();
             match frame {
-                None if source.connection.was_cut() => self.resume(Failure::Broken).await?,
+                None if source.connection.was_aborted() => self.resume(Failure::Broken).await?,
                 None => return Ok(None),
                 // Trailers concern only the upstream connection and are not forwarded.
                 Some(Ok(frame)) => match frame.into_data() {
--- a/teaselworks/src/relay/upstream_connection.rs
+++ b/teaselworks/src/relay/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream while it carries a request.
+//! Connections to upstreams: their use for one request at a time, their release, and their closing.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,109 +14,119 @@
 
 use super::body::Outgoing;
 
-/// Longest idle time of a connection whose upstream does not say how long it keeps it.
-const UNSTATED_IDLE: Duration = Duration::from_secs(2);
-/// Time before the end of an upstream's stated timeout from which a connection is not used any
-/// more: the request would cross the close on its way and might have run.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
+/// Maximum idle time of a connection whose upstream does not state an idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time before the end of the upstream's idle timeout from which a connection is no longer used.
+/// Otherwise a request could be sent while the upstream closes the connection, and it would be
+/// unknown whether the request was run.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// A connection that carries nothing.
+/// A connection that carries no request.
 #[derive(Debug)]
-pub(super) struct Released {
+pub(super) struct IdleConnection {
     pub(super) incarnation: Incarnation,
     pub(super) stream: TcpStream,
-    pub(super) since: Duration,
-    /// How long the upstream keeps it open, where it says so.
+    /// Time at which the connection became idle.
+    pub(super) idle_since: Duration,
+    /// Idle timeout of the upstream, if it states one.
     pub(super) keep_alive: Option<Duration>,
 }
 
-impl Released {
-    /// Tells whether the upstream surely still reads what is sent now.
-    pub(super) fn is_fresh(&self, now: Duration) -> bool {
-        let longest = match self.keep_alive {
-            None => UNSTATED_IDLE,
-            Some(timeout) if timeout >= 2 * IDLE_MARGIN => timeout - IDLE_MARGIN,
+impl IdleConnection {
+    /// Returns whether the connection is idle so briefly that the upstream won't close it yet.
+    pub(super) fn is_usable(&self, now: Duration) -> bool {
+        let max_idle_time = match self.keep_alive {
+            None => DEFAULT_IDLE_TIMEOUT,
+            Some(timeout) if timeout >= 2 * IDLE_TIMEOUT_MARGIN => timeout - IDLE_TIMEOUT_MARGIN,
             Some(timeout) => timeout / 2,
         };
-        now.saturating_sub(self.since) < longest
+        now.saturating_sub(self.idle_since) < max_idle_time
     }
 }
 
 /// One connection to an upstream, which carries one request at a time.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Outgoing>,
+    /// Idle timeout of the upstream, if it states one.
     keep_alive: Option<Duration>,
-    handle: Handle,
-    /// Releases the connection: tells its task what is to be kept with the stream.
-    release: Option<oneshot::Sender<Release>>,
+    handle: ConnectionHandle,
+    /// Tells the task of the connection to release the stream; `None` once it was told.
+    release: Option<oneshot::Sender<ReleaseMessage>>,
 }
 
-/// What a connection tells its task when it is released.
-struct Release {
-    since: Duration,
+/// Message to the task of a connection that releases the stream, with what is kept of it.
+struct ReleaseMessage {
+    idle_since: Duration,
     keep_alive: Option<Duration>,
 }
 
 impl Connection {
-    /// Starts HTTP on a stream; `on_released` takes the stream back once it is released.
+    /// Starts HTTP/1 on a stream. `on_released` gets the stream back when the connection is
+    /// released.
     pub(super) async fn start(
         incarnation: &Incarnation,
         stream: TcpStream,
         keep_alive: Option<Duration>,
-        open: &Arc<OpenConnections>,
-        on_released: impl FnOnce(Released) + Send + 'static,
+        active: &Arc<ActiveConnections>,
+        on_released: impl FnOnce(IdleConnection) + Send + 'static,
     ) -> hyper::Result<Self> {
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let (release, released) = oneshot::channel();
-        let entry = Entry::new(open, &incarnation.id);
-        let number = entry.number;
+        let entry = ActiveEntry::new(active, &incarnation.id);
+        let connection_id = entry.connection_id;
         let incarnation = incarnation.clone();
-        let of_task = incarnation.clone();
+        let task_incarnation = incarnation.clone();
         let task = tokio::spawn(async move {
-            // Where it fails, its end shows in the sender.
+            // An error is also reported to the sender of the request, so it is ignored here.
             let Ok(parts) = connection.without_shutdown().await else { return };
-            let Ok(Release { since, keep_alive }) = released.await else { return };
+            let Ok(ReleaseMessage { idle_since, keep_alive }) = released.await else { return };
             drop(entry);
-            // Bytes that nobody asked for would be taken for the next answer.
+            // Unread bytes belong to no request and would be taken for the next answer.
             if parts.read_buf.is_empty() {
                 let stream = parts.io.into_inner();
-                on_released(Released { incarnation: of_task, stream, since, keep_alive });
+                on_released(IdleConnection {
+                    incarnation: task_incarnation,
+                    stream,
+                    idle_since,
+                    keep_alive,
+                });
             }
         });
         let task = task.abort_handle();
-        let handle = Handle { incarnation, number, task, was_cut: Arc::default() };
-        open.add(handle.clone());
+        let handle =
+            ConnectionHandle { incarnation, connection_id, task, was_aborted: Arc::default() };
+        active.add(handle.clone());
         Ok(Self { sender, keep_alive, handle, release: Some(release) })
     }
 
-    /// Notes how long the upstream keeps the connection open while it is idle.
+    /// Sets the idle timeout of the upstream. `None` keeps the previous one.
     pub(super) fn set_keep_alive(&mut self, keep_alive: Option<Duration>) {
         self.keep_alive = keep_alive.or(self.keep_alive);
     }
 
-    /// Tells whether the connection was closed since its upstream started again: what has not
-    /// arrived never will, though the body ends as if it were whole.
-    pub(super) fn was_cut(&self) -> bool {
-        self.handle.was_cut.load(Ordering::Relaxed)
+    /// Returns whether the router closed the connection because the upstream has restarted. The
+    /// body of an answer then ends without an error, though the rest of it is missing.
+    pub(super) fn was_aborted(&self) -> bool {
+        self.handle.was_aborted.load(Ordering::Relaxed)
     }
 
-    /// Gives the stream back once its answer is whole.
+    /// Releases the connection for another request once the answer is complete.
     ///
-    /// One on which something is still under way, as the rest of a request that was answered early,
-    /// is closed.
+    /// Closes it instead if data is still being transferred, such as the rest of a request that was
+    /// answered early.
     pub(super) fn release(mut self, now: Duration) {
         if !self.sender.is_ready() || self.sender.is_closed() {
             return;
         }
         let Some(release) = self.release.take() else { return };
-        // Nobody waits where the connection has ended meanwhile.
-        let _ = release.send(Release { since: now, keep_alive: self.keep_alive });
+        // The send fails if the connection has closed in the meantime; nothing is left to release.
+        let _ = release.send(ReleaseMessage { idle_since: now, keep_alive: self.keep_alive });
     }
 }
 
 impl Drop for Connection {
-    /// Closes the connection at once, so that the upstream works no longer for a caller that has
-    /// left, and late bytes are not taken for the answer to another request.
+    /// Closes the connection at once unless it was released, so that the upstream stops working for
+    /// a caller that has left, and late bytes are not taken for the answer to another request.
     fn drop(&mut self) {
         if self.release.is_some() {
             self.handle.task.abort();
@@ -124,64 +134,65 @@
     }
 }
 
-/// Ends a connection from elsewhere.
+/// Handle to close a connection from another task.
 #[derive(Clone, Debug)]
-struct Handle {
+struct ConnectionHandle {
     incarnation: Incarnation,
-    number: u64,
+    connection_id: u64,
     task: AbortHandle,
-    was_cut: Arc<AtomicBool>,
+    /// Whether the connection was closed because the upstream has restarted.
+    was_aborted: Arc<AtomicBool>,
 }
 
-/// The place of a connection among the open ones, which ends with its task.
-struct Entry {
-    open: Arc<OpenConnections>,
+/// Keeps a connection in the list of active ones until the task of the connection drops this value.
+struct ActiveEntry {
+    active: Arc<ActiveConnections>,
     upstream: Arc<str>,
-    number: u64,
+    connection_id: u64,
 }
 
-impl Entry {
-    fn new(open: &Arc<OpenConnections>, upstream: &Arc<str>) -> Self {
-        let number = open.last_number.fetch_add(1, Ordering::Relaxed);
-        Self { open: open.clone(), upstream: upstream.clone(), number }
+impl ActiveEntry {
+    fn new(active: &Arc<ActiveConnections>, upstream: &Arc<str>) -> Self {
+        let connection_id = active.next_connection_id.fetch_add(1, Ordering::Relaxed);
+        Self { active: active.clone(), upstream: upstream.clone(), connection_id }
     }
 }
 
-impl Drop for Entry {
+impl Drop for ActiveEntry {
     fn drop(&mut self) {
-        let mut handles = self.open.lock();
-        let Some(open) = handles.get_mut(&self.upstream) else { return };
-        open.retain(|other| other.number != self.number);
-        if open.is_empty() {
+        let mut handles = self.active.lock();
+        let Some(upstream_handles) = handles.get_mut(&self.upstream) else { return };
+        upstream_handles.retain(|other| other.connection_id != self.connection_id);
+        if upstream_handles.is_empty() {
             handles.remove(&self.upstream);
         }
     }
 }
 
-/// Every connection in use, by the identifier of its upstream.
+/// All connections that are in use, by the identifier of their upstream.
 #[derive(Debug, Default)]
-pub(super) struct OpenConnections {
-    last_number: AtomicU64,
-    handles: Mutex<HashMap<Arc<str>, Vec<Handle>>>,
+pub(super) struct ActiveConnections {
+    next_connection_id: AtomicU64,
+    handles: Mutex<HashMap<Arc<str>, Vec<ConnectionHandle>>>,
 }
 
-impl OpenConnections {
-    fn add(&self, handle: Handle) {
+impl ActiveConnections {
+    fn add(&self, handle: ConnectionHandle) {
         self.lock().entry(handle.incarnation.id.clone()).or_default().push(handle);
     }
 
-    /// Ends the connections to other starts of an upstream than this one.
+    /// Closes the connections to all incarnations of the upstream other than `incarnation`.
     pub(super) fn close_other_incarnations(&self, incarnation: &Incarnation) {
         for handle in self.lock().get(&incarnation.id).into_iter().flatten() {
             if handle.incarnation == *incarnation {
                 continue;
             }
-            handle.was_cut.store(true, Ordering::Relaxed);
+            handle.was_aborted.store(true, Ordering::Relaxed);
             handle.task.abort();
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Arc<str>, Vec<Handle>>> {
-        self.handles.lock().expect("the lock is never poisoned")
+    fn lock(&self) -> MutexGuard<'_, HashMap<Arc<str>, Vec<ConnectionHandle>>> {
+        self.handles.lock().expect("lock of the active connections is poisoned")
     }
 }
