--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -37,7 +37,7 @@
 
 /// Guards against a second run, and a refusal that promises none, after a replica broke off.
 #[tokio::test]
-async fn what_may_have_run_runs_once_and_is_not_called_refused() {
+async fn request_that_may_have_run_is_not_retried_or_answered_as_not_run() {
     let fleet = fleet(1).await;
     let endings: Vec<(&str, Behaviour)> = vec![
         ("closed", |_| Script::of(vec![Step::Close])),
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_is_passed_on_with_its_status_and_signature() {
+async fn error_answer_is_forwarded_with_status_and_signature() {
     let fleet = fleet(1).await;
     services(&fleet, |seen| Script::whole(seen, 500, "out of ink"));
     let reply = answered(&fleet, request("POST", "/write/a", "f1")).await;
@@ -89,7 +89,7 @@
 
 /// Guards against a lookup that fails with one replica though another one would answer it.
 #[tokio::test]
-async fn idempotent_requests_are_answered_by_another_replica() {
+async fn idempotent_request_is_retried_at_another_replica() {
     let failures: Vec<Behaviour> = vec![
         |_| Script::of(vec![Step::Reset]),
         |seen| Script::whole(seen, 500, "out of ink"),
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn what_was_not_run_is_sent_to_another_replica_also_where_it_must_not_repeat() {
+async fn request_that_was_not_run_is_retried_even_if_not_idempotent() {
     let fleet = fleet(1).await;
     fleet.services[0].set_behaviour(Script::rejected);
     for turn in 0..4 {
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test]
-async fn what_no_replica_ran_is_refused_with_a_time_to_return() {
+async fn request_rejected_by_all_replicas_is_refused_with_retry_after() {
     let fleet = fleet(1).await;
     services(&fleet, Script::rejected);
     let reply = answered(&fleet, request("POST", "/write/a", "n")).await;
@@ -135,7 +135,7 @@
 
 /// Guards against a 502 for a long body that was turned away unexecuted.
 #[tokio::test]
-async fn a_long_request_that_was_turned_away_is_refused_as_not_run() {
+async fn rejected_request_with_unbuffered_body_is_refused_as_not_run() {
     let fleet = fleet(1).await;
     services(&fleet, Script::rejected);
     let body = "x".repeat(400_000);
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn replicas_that_cannot_be_reached_are_left_for_others() {
+async fn unreachable_replica_is_skipped_and_ejected() {
     let fleet = fleet(1).await;
     fleet.services[0].stop();
     for turn in 0..40 {
@@ -158,7 +158,7 @@
 
 /// Guards against a second answer on a kept connection that reaches the next caller.
 #[tokio::test]
-async fn extra_answers_reach_nobody() {
+async fn unrequested_answer_reaches_no_caller() {
     let fleet = fleet(1).await;
     services(&fleet, |seen| {
         let twice =
@@ -184,7 +184,7 @@
 /// Guards against a request that is sent on a connection that its replica closed, or sent more bytes
 /// on, while it was idle: what must not run twice would be answered as if it might have run.
 #[tokio::test]
-async fn a_connection_that_changed_while_idle_is_not_used_again() {
+async fn idle_connection_that_was_closed_or_sent_data_is_not_reused() {
     let fleet = fleet(1).await;
     for (turn, step) in [Step::Close, Step::Reset, Step::Write(answer("0", 200, "a stranger"))]
         .into_iter()
@@ -214,7 +214,7 @@
 
 /// Guards against connections to replicas that are opened for each request.
 #[tokio::test]
-async fn a_quiet_connection_is_used_again() {
+async fn idle_connection_is_reused() {
     let fleet = fleet(1).await;
     services(&fleet, |seen| Script::whole(seen, 200, "a verse"));
     for turn in 0..40 {
@@ -228,7 +228,7 @@
 
 /// Guards against an answer without a length that is reset and looks whole.
 #[tokio::test]
-async fn answers_that_end_with_their_connection_are_whole_only_if_it_ends_well() {
+async fn answer_without_length_is_complete_only_if_connection_closes_cleanly() {
     let fleet = fleet(1).await;
     let unframed = |seen: &Seen, end: Step| {
         let head = format!(
@@ -248,7 +248,7 @@
 
 /// Guards against the rest of a body that is read as the next request.
 #[tokio::test]
-async fn an_early_answer_leaves_no_half_sent_body_behind() {
+async fn rest_of_body_after_early_answer_is_not_read_as_next_request() {
     let fleet = fleet(1).await;
     services(&fleet, |seen| Script::whole(seen, 413, "too long for me"));
     let body = "x".repeat(700_000);
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_passed_on_while_it_arrives() {
+async fn stream_is_forwarded_while_it_arrives() {
     let fleet = fleet(1).await;
     engines(&fleet, |seen| {
         let steps =
@@ -276,7 +276,7 @@
 
 /// Guards against a stream that breaks off, between events or inside one, and looks whole.
 #[tokio::test]
-async fn a_stream_that_breaks_off_looks_broken() {
+async fn stream_that_breaks_off_is_incomplete_for_the_caller() {
     let fleet = fleet(1).await;
     let breaks: Vec<Behaviour> = vec![
         |seen| Script::stream(seen, 1..3, GAP, false).then(Step::Close),
@@ -302,7 +302,7 @@
 
 /// Guards against pieces that are missing or come twice when a stream is resumed.
 #[tokio::test]
-async fn a_resumable_stream_goes_on_at_another_engine() {
+async fn resumable_stream_is_resumed_at_another_engine() {
     let fleet = fleet(1).await;
     let rest = |seen: &Seen| {
         let last: u32 =
@@ -333,7 +333,7 @@
 
 /// Guards against waiting for a silent replica until the deadline, where another may be asked.
 #[tokio::test]
-async fn what_may_repeat_leaves_a_silent_replica() {
+async fn idempotent_request_is_retried_if_replica_is_silent() {
     let mut plan = Plan::default();
     for prefix in ["/read/", "/gloss/"] {
         plan.find(prefix)["target_latency_ms"] = json!(50);
@@ -359,7 +359,7 @@
 
 /// Guards against a caller that waits beyond its time, or is told that nothing ran.
 #[tokio::test]
-async fn a_request_whose_time_passes_is_answered_then() {
+async fn request_is_answered_at_its_deadline() {
     let mut plan = Plan::default();
     plan.find("/write/")["timeout_ms"] = json!(300);
     let fleet = fleet_with(1, plan, &json!({})).await;
@@ -373,7 +373,7 @@
 
 /// Guards against repeats that multiply the load of replicas that turn everything away.
 #[tokio::test]
-async fn repeats_stay_within_the_budget() {
+async fn retries_stay_within_the_budget() {
     let bounds = json!({ "retry_ratio": 0.1, "retry_slack": 10.0 });
     let fleet = fleet_with(2, Plan::default(), &bounds).await;
     services(&fleet, Script::rejected);
@@ -390,7 +390,7 @@
 
 /// Guards against a run at a replica of another service that has the address now.
 #[tokio::test]
-async fn an_address_that_was_given_away_runs_nothing() {
+async fn misdirected_request_is_not_run_and_names_the_expected_instance() {
     let fleet = fleet(1).await;
     services(&fleet, |seen| Script::misdirected(seen, "i-of-another-service"));
     let reply = answered(&fleet, request("POST", "/write/a", "m1")).await;
