--- a/teaselworks/tests/golden.rs
+++ b/teaselworks/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Golden sessions: whole sessions against real processes, compared with files.
+//! Golden tests: the messages of sessions with a running router, compared with recorded files.
 //!
-//! `TEASELWORKS_RECORD=1 cargo test -p teaselworks --test golden` records them anew; the change is
-//! then read as a difference of the files below `tests/golden`. Remaining times and the numbers of
-//! replicas are replaced, as they differ from run to run.
+//! `TEASELWORKS_RECORD=1 cargo test -p teaselworks --test golden` records the files below
+//! `tests/golden` again; review the change as a diff of these files. Times, dates, addresses and
+//! identifiers of replicas are replaced by placeholders, since they differ from run to run.
 
 mod common;
 
@@ -17,6 +17,7 @@
 use teaselworks_standin::message::Head;
 use teaselworks_standin::upstream::{Script, Step, chunk};
 
+/// Requests sent to a router one after the other, and a transcript of all messages.
 struct Session<'a> {
     name: &'static str,
     fleet: &'a Fleet,
@@ -24,37 +25,44 @@
 }
 
 impl<'a> Session<'a> {
-    fn new(name: &'static str, about: &str, fleet: &'a Fleet) -> Self {
-        Self { name, fleet, text: format!("# {about}\n") }
+    fn new(name: &'static str, heading: &str, fleet: &'a Fleet) -> Self {
+        Self { name, fleet, text: format!("# {heading}\n") }
     }
 
+    /// Sends a request, and adds it, the messages that replicas received and the reply to the
+    /// transcript.
     async fn send(&mut self, sent: Call) {
-        let known: Vec<usize> = self.upstreams().map(|upstream| upstream.seen().len()).collect();
+        let seen_before: Vec<usize> =
+            self.upstreams().map(|upstream| upstream.seen().len()).collect();
         let reply = call(self.fleet.routers[0].callers(), &sent).await.unwrap();
         self.text.push_str(&format!("\n> {} {}\n", sent.method, sent.target));
         let mut lines = Vec::new();
-        for (upstream, known) in self.upstreams().zip(known) {
-            for seen in upstream.seen().into_iter().skip(known) {
+        for (upstream, seen_before) in self.upstreams().zip(seen_before) {
+            for seen in upstream.seen().into_iter().skip(seen_before) {
                 let kind = upstream.id.split('-').next().unwrap_or_default();
                 let (method, target) = seen.target();
                 lines.push((
                     seen.has_run,
-                    format!("  {kind} gets {method} {target}\n{}", shown(&seen.head, "    ")),
+                    format!(
+                        "  {kind} gets {method} {target}\n{}",
+                        format_headers(&seen.head, "    ")
+                    ),
                 ));
             }
         }
-        // The attempt that broke off comes before the one that goes on after its last event.
+        // Puts the attempt that broke off before the one that resumes the stream.
         lines.sort_by_key(|(_, text)| text.contains("last-event-id"));
         lines.iter().for_each(|(_, text)| self.text.push_str(text));
-        self.show(&reply);
+        self.push_reply(&reply);
     }
 
-    fn show(&mut self, reply: &Reply) {
-        let whole = if reply.body.is_whole { "whole" } else { "broken off" };
+    /// Adds a reply to the transcript.
+    fn push_reply(&mut self, reply: &Reply) {
+        let completeness = if reply.body.is_whole { "whole" } else { "broken off" };
         self.text.push_str(&format!(
-            "< {} ({whole})\n{}",
+            "< {} ({completeness})\n{}",
             reply.status(),
-            shown(&reply.head, "  ")
+            format_headers(&reply.head, "  ")
         ));
         for line in reply.text().lines() {
             self.text.push_str(&format!("  | {line}\n"));
@@ -65,7 +73,9 @@
         self.fleet.engines.iter().chain(&self.fleet.services)
     }
 
-    fn check(self) -> Option<String> {
+    /// Compares the transcript with the recorded file, and returns the difference if there is one.
+    /// Writes the file first if `TEASELWORKS_RECORD` is set.
+    fn compare_with_recording(self) -> Option<String> {
         let file = format!("tests/golden/{}.txt", self.name);
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(file);
         if env::var_os("TEASELWORKS_RECORD").is_some() {
@@ -81,7 +91,9 @@
     }
 }
 
-fn shown(head: &Head, indent: &str) -> String {
+/// Returns the headers in alphabetical order, with placeholders for values that differ from run to
+/// run.
+fn format_headers(head: &Head, indent: &str) -> String {
     let mut lines = Vec::new();
     for (name, value) in &head.headers {
         let value = match name.as_str() {
@@ -97,23 +109,33 @@
     lines.concat()
 }
 
+/// Guards against an unintended change of the messages between callers, router and replicas.
 #[tokio::test]
 async fn sessions_are_as_recorded() {
     let fleet = fleet(1).await;
     let mut differences = Vec::new();
 
-    let mut session = Session::new("plain", "A plain call, and what may not pass.", &fleet);
+    let mut session = Session::new(
+        "plain",
+        "Requests that are answered, lack an API key, or match no route.",
+        &fleet,
+    );
     session.send(request("GET", "/read/a?b=c", "1")).await;
     session.send(request("POST", "/write/a", "2").body("a tag")).await;
     session.send(Call::new("GET", HOST, "/read/a", "3")).await;
     session.send(request("GET", "/elsewhere/a", "4")).await;
-    differences.extend(session.check());
+    differences.extend(session.compare_with_recording());
 
-    let mut session = Session::new("stream", "A chat as a stream of events.", &fleet);
+    let mut session =
+        Session::new("stream", "A chat answered as a stream of server-sent events.", &fleet);
     session.send(chat("/chat/a", "a5", 1)).await;
-    differences.extend(session.check());
+    differences.extend(session.compare_with_recording());
 
-    let mut session = Session::new("resumed", "A stream that goes on at another engine.", &fleet);
+    let mut session = Session::new(
+        "resumed",
+        "A stream that breaks off and is resumed at another engine.",
+        &fleet,
+    );
     for engine in &fleet.engines {
         engine.set_behaviour(|seen| {
             let last: Option<u32> =
@@ -128,10 +150,10 @@
         });
     }
     session.send(chat("/gloss/a", "a6", 2)).await;
-    differences.extend(session.check());
+    differences.extend(session.compare_with_recording());
 
-    let about = "Replicas that run nothing, and one that breaks off.";
-    let mut session = Session::new("failures", about, &fleet);
+    let heading = "Replicas that reject a request without running it, or close the connection.";
+    let mut session = Session::new("failures", heading, &fleet);
     for service in &fleet.services {
         service.set_behaviour(Script::rejected);
     }
@@ -140,7 +162,11 @@
         service.set_behaviour(|_| Script::of(vec![Step::Close]));
     }
     session.send(request("POST", "/write/a", "8").body("a tag")).await;
-    differences.extend(session.check());
+    differences.extend(session.compare_with_recording());
 
-    assert!(differences.is_empty(), "sessions differ:\n{}", differences.join("\n"));
+    assert!(
+        differences.is_empty(),
+        "sessions differ from the recorded files:\n{}",
+        differences.join("\n")
+    );
 }
