--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -43,7 +43,7 @@
 }
 
 impl Shared {
-    /// Creates the state of a router that starts now and has no configuration yet.
+    /// Creates the state of a router that starts now.
     pub fn new(
         clock: Arc<dyn Clock>,
         metrics: Arc<Metrics>,
