--- a/teaselworks/src/daemon/serve.rs
+++ b/teaselworks/src/daemon/serve.rs
@@ -134,6 +134,6 @@
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         updater.expire();
-        shared.connections.sweep(shared.now());
+        shared.connections.close_expired(shared.now());
     }
 }
