--- a/teaselworks_model/src/caller.rs
+++ b/teaselworks_model/src/caller.rs
@@ -15,12 +15,12 @@
 pub(crate) struct Request {
     /// Index of the kind in [`Load::kinds`].
     pub(crate) kind: usize,
-    /// Identifier of the shared prompt part.
+    /// Identifier of the shared prompt part, by which engines cache its tokens.
     pub(crate) key: u64,
     /// Tokens of the answer.
     pub(crate) answer_tokens: f64,
-    /// Time of the first attempt.
-    pub(crate) asked_at: Duration,
+    /// Time at which the caller sent the first attempt.
+    pub(crate) first_sent_at: Duration,
     /// Number of attempts that the caller has made so far.
     pub(crate) attempts: u32,
     /// Time at which the first token was generated.
@@ -30,15 +30,15 @@
 }
 
 impl Request {
-    /// Tells whether the caller may send the request again after a refusal.
+    /// Returns whether the caller may send the request again after a refusal.
     pub(crate) fn may_retry(&self) -> bool {
         self.attempts <= MAX_RETRIES
     }
 
-    /// Tells whether the first token came within the target latency.
+    /// Returns whether the first token came within the target latency.
     pub(crate) fn is_in_time(&self, load: &Load) -> bool {
         let target = duration_from_ms(load.kinds[self.kind].target_latency_ms);
-        self.first_token_at.is_some_and(|at| at.saturating_sub(self.asked_at) <= target)
+        self.first_token_at.is_some_and(|at| at.saturating_sub(self.first_sent_at) <= target)
     }
 }
 
@@ -61,8 +61,8 @@
     requests
 }
 
-/// Creates a request with a random shared part, answer length and deadline; if `is_hot`, it has the
-/// hot shared part.
+/// Creates a request with a random answer length and deadline. If `is_hot`, its shared part is part
+/// 0, the hot one; otherwise the part is random and may be part 0 as well.
 fn new_request(
     kind_index: usize,
     kind: &RequestKind,
@@ -77,8 +77,9 @@
         kind: kind_index,
         // Parts of different kinds must not get the same identifier.
         key: (kind_index as u64 + 1) * 1_000_000 + part,
+        // The factor averages 1, so that `kind.answer_tokens` is the mean.
         answer_tokens: f64::from(kind.answer_tokens) * random.random_range(0.1..1.9),
-        asked_at: now,
+        first_sent_at: now,
         attempts: 0,
         first_token_at: None,
     }
--- a/teaselworks_model/src/engine.rs
+++ b/teaselworks_model/src/engine.rs
@@ -13,7 +13,7 @@
 pub(crate) struct Job {
     /// Index of the request in the simulation.
     pub(crate) request: usize,
-    /// Identifier of the shared prompt part.
+    /// Identifier of the shared prompt part, by which the engine caches its tokens.
     pub(crate) key: u64,
     /// Tokens of the shared prompt part.
     pub(crate) shared_tokens: u32,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Tells whether the shared part `key` is cached.
+    /// Returns whether the shared part with the identifier `key` is cached.
     pub(crate) fn has_cached(&self, key: u64) -> bool {
         self.cache.iter().any(|(cached, _)| *cached == key)
     }
--- a/teaselworks_model/src/load.rs
+++ b/teaselworks_model/src/load.rs
@@ -189,7 +189,7 @@
         self.hot_parts.iter().filter(is_hot).map(|hot| hot.share).fold(0.0, f64::max)
     }
 
-    /// Tells whether an engine is down at `now`; an outage affects the engines with the lowest
+    /// Returns whether an engine is down at `now`; an outage affects the engines with the lowest
     /// numbers.
     pub(crate) fn is_down(&self, engine: u32, now: Duration) -> bool {
         let now_s = now.as_secs_f64();
@@ -200,7 +200,7 @@
     }
 }
 
-/// Tells whether `now_s` lies in the period that starts at `at_s` and lasts `for_s`.
+/// Returns whether `now_s` lies in the period that starts at `at_s` and lasts `for_s`.
 fn is_within(now_s: f64, at_s: f64, for_s: f64) -> bool {
     (at_s..at_s + for_s).contains(&now_s)
 }
--- a/teaselworks_model/src/result.rs
+++ b/teaselworks_model/src/result.rs
@@ -15,7 +15,7 @@
     pub asked: u32,
     /// Answered requests whose first token came within the target latency.
     pub in_time: u32,
-    /// Answered requests whose first token came later.
+    /// Answered requests whose first token came after the target latency.
     pub late: u32,
     /// Requests that were refused and not retried any more.
     pub refused: u32,
@@ -49,6 +49,9 @@
     pub reached: u64,
     /// Number of requests that reached an engine with more than twice the mean load of all engines
     /// plus three requests.
+    ///
+    /// Two is the `load_factor` of the simulated routers. They place requests by a lower bound,
+    /// because they use only a part of the load above the mean that `load_factor` allows.
     pub beyond_bound: u64,
     /// Tokens of the shared prompt parts of requests that an engine accepted.
     pub shared_tokens: u64,
@@ -86,8 +89,8 @@
         self.busiest_percent_sum as f64 / 100.0 / self.reached.max(1) as f64
     }
 
-    /// Returns the fraction of the requests that reached an engine whose load was above the bound,
-    /// from 0 to 1.
+    /// Returns the fraction of the requests that reached an engine with more than twice the mean
+    /// load plus three requests, from 0 to 1; see [`EngineTotals::beyond_bound`].
     ///
     /// ```
     /// use teaselworks_model::EngineTotals;
@@ -108,7 +111,8 @@
     pub windows: BTreeMap<u64, RequestCounts>,
     /// Counts over the whole time, by name of the kind of requests.
     pub kinds: BTreeMap<String, RequestCounts>,
-    /// Times to the first token of the answered requests, by name of their kind.
+    /// Times from the first attempt of each answered request to its first token, in milliseconds,
+    /// by name of the kind of requests.
     pub waits_ms: BTreeMap<String, Vec<u32>>,
     /// Sums over all engines.
     pub totals: EngineTotals,
@@ -128,15 +132,15 @@
         all
     }
 
-    /// Increments a counter for a request of `kind` that was first sent at `asked_at`, both for its
-    /// time window and for its kind.
+    /// Increments a counter for a request of `kind` that was first sent at `first_sent_at`, both
+    /// for its time window and for its kind.
     pub(crate) fn count(
         &mut self,
-        asked_at: Duration,
+        first_sent_at: Duration,
         kind: &str,
         counter: impl Fn(&mut RequestCounts) -> &mut u32,
     ) {
-        let window_index = asked_at.as_secs() / WINDOW_LENGTH.as_secs();
+        let window_index = first_sent_at.as_secs() / WINDOW_LENGTH.as_secs();
         *counter(self.windows.entry(window_index * WINDOW_LENGTH.as_secs()).or_default()) += 1;
         if !self.kinds.contains_key(kind) {
             self.kinds.insert(kind.to_owned(), RequestCounts::default());
--- a/teaselworks_model/src/run.rs
+++ b/teaselworks_model/src/run.rs
@@ -48,7 +48,7 @@
     sent_at: Duration,
     /// Identifiers of the upstreams that the router has sent the request to, this one included.
     tried: Vec<Arc<str>>,
-    /// Whether the router takes the caller for one that was refused before and has come back.
+    /// Whether the router assumes that the caller was refused before and is retrying.
     is_late: bool,
 }
 
@@ -69,6 +69,7 @@
     random: Pcg32,
     /// Time since the start of the simulation.
     now: Duration,
+    /// State from which each router makes its decisions.
     routers: Vec<Fleet>,
     engines: Vec<Engine>,
     /// Whether each engine is down.
@@ -253,7 +254,7 @@
         let is_cached_elsewhere = attempt
             .holder
             .is_some_and(|holder| !self.is_down[holder] && self.engines[holder].has_cached(key));
-        self.record_load(engine);
+        self.record_imbalance(engine);
         let kind = &self.load.kinds[kind];
         let job = Job {
             request,
@@ -268,17 +269,21 @@
             return;
         }
         self.end(request, Some(RequestOutcome::Error));
+        // As in `Deadline::max_retry_after`: a third of the time left, because the retry itself
+        // needs the rest.
         let max_retry_after = self.requests[request].deadline.saturating_sub(self.now) / 3;
         let retry_after =
             self.routers[router].schedule_retry_after(self.now, SERVICE, max_retry_after);
         self.on_refused(request, retry_after);
     }
 
-    /// Records the load of `engine`, which a request has just reached, compared to the mean load.
+    /// Records how the loads of `engine`, which a request has just reached, and of the busiest
+    /// engine compare to the mean load.
     ///
-    /// The bound on load is the `load_factor` of the routers (2) times the mean load, plus three
-    /// requests.
-    fn record_load(&mut self, engine: usize) {
+    /// Counts `engine` as beyond the bound if its load is more than twice the mean load plus three
+    /// requests. Two is the `load_factor` of the routers; the bound by which they place requests is
+    /// lower, because they use only a part of the load above the mean that `load_factor` allows.
+    fn record_imbalance(&mut self, engine: usize) {
         let total: usize = self.engines.iter().map(Engine::request_count).sum();
         let mean = total as f64 / self.engines.len() as f64;
         let totals = &mut self.outcome.totals;
@@ -319,9 +324,11 @@
     fn on_finished(&mut self, request: usize) {
         let Some(ended) = self.end(request, Some(RequestOutcome::Answered)) else { return };
         let route = &self.routes[self.requests[request].kind].name;
+        // The time since the answered attempt was sent. It is shorter than the time since the
+        // request's arrival if an earlier attempt timed out while connecting.
         self.routers[ended.router].on_answered(route, self.now.saturating_sub(ended.sent_at));
-        let Request { kind, asked_at, first_token_at, .. } = self.requests[request];
-        let wait = first_token_at.unwrap_or(self.now).saturating_sub(asked_at);
+        let Request { kind, first_sent_at, first_token_at, .. } = self.requests[request];
+        let wait = first_token_at.unwrap_or(self.now).saturating_sub(first_sent_at);
         let waits = self.outcome.waits_ms.entry(self.load.kinds[kind].name.to_string());
         waits.or_default().push(u32::try_from(wait.as_millis()).unwrap_or(u32::MAX));
         if self.requests[request].is_in_time(self.load) {
@@ -333,8 +340,8 @@
 
     /// Increments a counter for a request.
     fn count(&mut self, request: usize, counter: impl Fn(&mut RequestCounts) -> &mut u32) {
-        let Request { asked_at, kind, .. } = self.requests[request];
-        self.outcome.count(asked_at, &self.load.kinds[kind].name, counter);
+        let Request { first_sent_at, kind, .. } = self.requests[request];
+        self.outcome.count(first_sent_at, &self.load.kinds[kind].name, counter);
     }
 
     /// Ends the attempt of a request and tells its router how it ended; returns the attempt, or
@@ -358,7 +365,7 @@
         let mut expired: Vec<usize> = self.in_flight.keys().copied().filter(is_expired).collect();
         expired.sort_unstable();
         for request in expired {
-            // The router counts an engine that has not answered by the deadline as failed.
+            // The router counts an engine whose answer is not complete by the deadline as failed.
             let Some(ended) = self.end(request, Some(RequestOutcome::NoAnswer)) else { continue };
             self.engines[ended.engine].cancel(request);
             self.count(request, |counts| &mut counts.failed);
