--- a/teaselworks_standin/src/bin/cost.rs
+++ b/teaselworks_standin/src/bin/cost.rs
@@ -1,6 +1,6 @@
-//! Measures what one router process costs: the processor time of a small request and of a relayed
-//! event, and the memory when idle, with many workspaces or replicas, and with a thousand open
-//! streams. Run it with `--release`, because debug builds cost more.
+//! Measures what one router process costs: the CPU time of a small request and of a relayed event,
+//! and the memory when idle, with many workspaces or replicas, and with a thousand open streams.
+//! Run it with `--release`, because debug builds cost more.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -14,18 +14,19 @@
 use teaselworks_standin::router::Program;
 use teaselworks_standin::upstream::{Script, Step};
 
-/// Small requests over which the processor time is averaged.
+/// Small requests over which the CPU time is averaged.
 const REQUESTS: u32 = 4_000;
-/// Streams over whose events the processor time is averaged.
+/// Streams over whose events the CPU time is averaged.
 const STREAMS: u32 = 40;
 /// Events of each of these streams.
 const EVENTS: u32 = 1_000;
 /// Pause between two events of a stream. With a shorter pause the router would relay several events
 /// at once.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1);
-/// Most workspaces, each with two keys, for which the memory of a router is measured.
+/// Largest number of workspaces, each with two API keys, with which the memory of a router is
+/// measured; it is measured with none and with a third of them too.
 const WORKSPACES: usize = 18_000;
-/// Replicas for which the memory of a router is measured.
+/// Number of replicas added to those of the fleet while the memory of a router is measured.
 const REPLICAS: usize = 800;
 /// Streams that are open at once while the memory of a router is measured.
 const OPEN_STREAMS: u32 = 1_000;
@@ -39,41 +40,33 @@
     measure_store_memory(&program).await?;
     let fleet = Fleet::start(program, 1).await?;
     let router = &fleet.routers[0];
-    let process_id = router.process_id().ok_or("router-0 does not run")?;
+    let process_id = router.process_id().ok_or("router-0 is not running")?;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    println!("memory idle: {:.1} MB", memory_mb(process_id)?);
+    println!("memory idle: {:.1} MiB", memory_mib(process_id)?);
 
     let mut connection = Connection::open(router.callers_address()).await?;
-    let before = processor_time(process_id)?;
+    let before = cpu_time(process_id)?;
     for number in 0..REQUESTS {
         let reply =
             connection.call(&build_request("GET", "/read/a", &format!("r{number}"))).await?;
         if reply.is_none_or(|reply| reply.status() != 200) {
-            return Err("a small request got no response of status 200".into());
+            return Err("a small request got no response with status 200".into());
         }
     }
-    print_processor_time(
-        "small request",
-        processor_time(process_id)?.saturating_sub(before),
-        REQUESTS,
-    );
+    print_cpu_time("small request", cpu_time(process_id)?.saturating_sub(before), REQUESTS);
 
     for engine in &fleet.engines {
         engine.set_behaviour(|req| Script::stream(req, 1..EVENTS + 1, EVENT_INTERVAL, true));
     }
-    let before = processor_time(process_id)?;
+    let before = cpu_time(process_id)?;
     for number in 0..STREAMS {
         let reply = connection.call(&chat_request(&format!("a{number}"))).await?;
         if reply.is_none_or(|reply| reply.events().len() != EVENTS as usize) {
-            return Err("a stream ended before its last event".into());
+            return Err("a stream did not have all its events".into());
         }
     }
     let events = STREAMS * EVENTS;
-    print_processor_time(
-        "relayed event",
-        processor_time(process_id)?.saturating_sub(before),
-        events,
-    );
+    print_cpu_time("relayed event", cpu_time(process_id)?.saturating_sub(before), events);
 
     for engine in &fleet.engines {
         engine.set_behaviour(|req| {
@@ -90,7 +83,7 @@
         }
         open.push(connection);
     }
-    println!("memory with {} open streams: {:.1} MB", open.len(), memory_mb(process_id)?);
+    println!("memory with {} open streams: {:.1} MiB", open.len(), memory_mib(process_id)?);
     Ok(())
 }
 
@@ -99,6 +92,7 @@
     for (workspaces, replicas) in [(0, 0), (WORKSPACES / 3, 0), (WORKSPACES, 0), (0, REPLICAS)] {
         let mut fleet = Fleet::start(program.clone(), 1).await?;
         for number in 0..replicas {
+            // No replica runs behind these entries.
             let address = ([127, 0, 0, 1], 9).into();
             let entry = upstream_entry(&fleet.engines[0], address, CHAT_SERVICE, "ready");
             fleet.store.put_json(&format!("servers/more-{number}"), &entry);
@@ -112,12 +106,14 @@
         }
         fleet.configuration.next_version();
         fleet.publish_configuration();
+        // The configuration with which the fleet started and the one just published.
         fleet.routers[0].wait_for_events("configuration_in_force", 2).await?;
+        // The fleet starts with four replicas, two of each service.
         fleet.routers[0].wait_for_events("upstream_serving", 4 + replicas).await?;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let process_id = fleet.routers[0].process_id().ok_or("router-0 does not run")?;
-        let memory_mb = memory_mb(process_id)?;
-        println!("memory with {workspaces} workspaces, {replicas} replicas: {memory_mb:.1} MB");
+        let process_id = fleet.routers[0].process_id().ok_or("router-0 is not running")?;
+        let memory_mib = memory_mib(process_id)?;
+        println!("memory with {workspaces} workspaces, {replicas} replicas: {memory_mib:.1} MiB");
     }
     Ok(())
 }
@@ -136,16 +132,14 @@
         .with_body("Which verse is older?")
 }
 
-/// Prints the average processor time of `count` operations that took `time` together.
-fn print_processor_time(operation: &str, time: Duration, count: u32) {
-    println!(
-        "processor time of a {operation}: {:.1} us",
-        time.as_secs_f64() * 1e6 / f64::from(count)
-    );
+/// Prints the average CPU time of `count` operations that took `time` together.
+fn print_cpu_time(operation: &str, time: Duration, count: u32) {
+    println!("CPU time of a {operation}: {:.1} us", time.as_secs_f64() * 1e6 / f64::from(count));
 }
 
-/// Returns the processor time that a process has used, in user and kernel mode.
-fn processor_time(process_id: u32) -> Result<Duration, Box<dyn Error>> {
+/// Returns the CPU time that the main thread of a process has used, in user and kernel mode. Other
+/// threads, such as the one that writes the router's log, are not included.
+fn cpu_time(process_id: u32) -> Result<Duration, Box<dyn Error>> {
     let schedstat = std::fs::read_to_string(format!("/proc/{process_id}/schedstat"))?;
     let nanoseconds =
         schedstat.split_whitespace().next().ok_or("the schedstat file of the router is empty")?;
@@ -153,7 +147,7 @@
 }
 
 /// Returns the resident memory of a process in MiB.
-fn memory_mb(process_id: u32) -> Result<f64, Box<dyn Error>> {
+fn memory_mib(process_id: u32) -> Result<f64, Box<dyn Error>> {
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status"))?;
     let line = status
         .lines()
