--- a/teaselworks_standin/src/engine.rs
+++ b/teaselworks_standin/src/engine.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PromptTokens {
     /// Tokens that the engine had to process, since they were not cached.
-    pub read: u64,
+    pub processed: u64,
     /// Tokens that the engine reused from its cache.
     pub reused: u64,
 }
@@ -35,8 +35,8 @@
         self.lock().tokens
     }
 
-    /// Counts the tokens of a prompt as reused or read, and adds its parts to the cache. A part is
-    /// reused only if it and all parts before it are cached.
+    /// Counts the tokens of a prompt as reused or processed, and adds its parts to the cache. A
+    /// part is reused only if it and all parts before it are cached.
     ///
     /// `prompt_prefix` is the value of an `x-prompt-prefix` header: parts of the form `id:tokens`,
     /// separated by commas. Malformed parts are skipped.
@@ -50,7 +50,7 @@
             if is_cached {
                 state.tokens.reused += tokens;
             } else {
-                state.tokens.read += tokens;
+                state.tokens.processed += tokens;
             }
         }
     }
