--- a/teaselworks_standin/src/caller.rs
+++ b/teaselworks_standin/src/caller.rs
@@ -13,7 +13,7 @@
 /// Maximum time to wait for a head or a body; far above what any request of a test takes.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request to send.
+/// An HTTP request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Method.
@@ -67,7 +67,7 @@
     }
 }
 
-/// A response that was received.
+/// An HTTP response that was received.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     /// Head of the response.
@@ -90,7 +90,8 @@
         String::from_utf8_lossy(&self.body.bytes).into_owned()
     }
 
-    /// Returns the identifiers of the server-sent events in the body that are numbers.
+    /// Returns the identifiers of the server-sent events in the body, without those that are not
+    /// numbers.
     pub fn events(&self) -> Vec<u32> {
         let text = self.text();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -126,6 +127,7 @@
     /// Reads the head of a response; `None` if the connection is closed first. Fails with
     /// [`io::ErrorKind::TimedOut`] after [`REPLY_TIMEOUT`].
     pub async fn read_head(&mut self) -> io::Result<Option<Head>> {
+        // `false`: the head is that of a response, not of a request.
         tokio::time::timeout(REPLY_TIMEOUT, self.messages.read_head(false))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -20,7 +20,7 @@
 
 /// A running fleet of routers with its store and replicas.
 pub struct Fleet {
-    /// The platform's store.
+    /// Stand-in for the platform's store.
     pub store: Store,
     /// Replicas of the service [`CHAT_SERVICE`].
     pub engines: Vec<Upstream>,
@@ -35,18 +35,18 @@
 impl Fleet {
     /// Starts a fleet with the default configuration and bounds, and waits until its routers are
     /// ready.
-    pub async fn start(program: Program, routers: usize) -> io::Result<Self> {
-        Self::start_with(program, routers, TestConfiguration::default(), &json!({})).await
+    pub async fn start(program: Program, router_count: usize) -> io::Result<Self> {
+        Self::start_with(program, router_count, TestConfiguration::default(), &json!({})).await
     }
 
-    /// Starts a fleet with two engines and two service replicas, and waits until its routers are
-    /// ready and registered in the store. The replicas send complete responses: the engines streams
-    /// of five events, the services a body.
+    /// Starts a fleet with two replicas of each service, and waits until its routers are ready and
+    /// registered in the store. All replicas send complete responses: those of [`CHAT_SERVICE`]
+    /// streams of five events, those of [`ARCHIVE_SERVICE`] a body.
     ///
     /// `bounds` is the section `bounds` of every router's settings.
     pub async fn start_with(
         program: Program,
-        routers: usize,
+        router_count: usize,
         configuration: TestConfiguration,
         bounds: &Value,
     ) -> io::Result<Self> {
@@ -64,7 +64,7 @@
         for upstream in &fleet.services {
             fleet.list(upstream, ARCHIVE_SERVICE, "ready");
         }
-        for number in 0..routers {
+        for number in 0..router_count {
             let seeds: Vec<_> = fleet.routers.iter().map(Router::peers_address).collect();
             let name = format!("router-{number}");
             let store = fleet.store.address();
@@ -73,7 +73,7 @@
         for router in &fleet.routers {
             router.wait_until_ready().await?;
         }
-        let count = routers;
+        let count = router_count;
         wait_until("all routers registered", async || fleet.store.keys("routers/").len() == count)
             .await?;
         Ok(fleet)
