--- a/teaselworks_standin/src/soak/checks.rs
+++ b/teaselworks_standin/src/soak/checks.rs
@@ -134,15 +134,15 @@
 /// Checks that a draining replica gets no requests after the draining bound, unless an unplanned
 /// fault could have kept routers from learning that it drains.
 fn check_drains(observations: &Observations, violations: &mut Vec<Violation>) {
-    for (upstream, drained_at) in &observations.drained {
-        let bound = *drained_at + DRAINING_BOUND + PROXY_LATENCY;
+    for (upstream, listed_at) in &observations.draining_since {
+        let bound = *listed_at + DRAINING_BOUND + PROXY_LATENCY;
         let is_late = |arrival: &&Arrival| arrival.upstream == *upstream && arrival.at > bound;
         for arrival in observations.arrivals.iter().filter(is_late) {
-            if is_undisturbed(observations, drained_at.saturating_sub(RECOVERY_TIME), arrival.at) {
+            if is_undisturbed(observations, listed_at.saturating_sub(RECOVERY_TIME), arrival.at) {
                 let details = format!(
                     "{} reached {upstream} {:?} after it was listed as draining",
                     arrival.id,
-                    arrival.at - *drained_at
+                    arrival.at - *listed_at
                 );
                 violations.push(Violation::new("no new requests to draining replicas", details));
             }
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -17,29 +17,33 @@
 use crate::proxy::{DirectionFaults, Proxy, ProxyFaults};
 use crate::store::Mode;
 
-/// Interval at which faults that are due begin and end.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the loop of [`inject`] begins and ends faults that are due. It is also the
+/// recorded duration of faults that take effect at once, and the time given to a new process to
+/// install its signal handlers.
+const LOOP_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest pause between the starts of two faults.
 const MAX_FAULT_PAUSE_MS: u64 = 900;
 /// Length of a phase with planned operations only. It alternates with [`ALL_FAULTS_PHASE`].
 const PLANNED_ONLY_PHASE: Duration = Duration::from_secs(9);
 /// Length of a phase with every kind of fault.
 const ALL_FAULTS_PHASE: Duration = Duration::from_secs(12);
-/// Time for which routers may still take stalled connections for working ones.
-const STALL_EFFECT: Duration = Duration::from_secs(5);
-/// Longest time for which a killed process is down.
+/// Recorded duration of a stall: the time for which routers may still use stalled connections
+/// because they take them for working ones.
+const STALL_DURATION: Duration = Duration::from_secs(5);
+/// Limit on the time from the kill of a router to its restart.
 const MAX_DOWN_MS: u64 = 1_500;
 
 /// A connection path that leads through a proxy.
 #[derive(Clone, Copy, Debug)]
 enum Link {
-    /// From the router of this number to the store.
+    /// From the router with this index to the store.
     Store(usize),
-    /// From all routers to the replica of this number.
+    /// From all routers to the replica with this index.
     Replica(usize),
 }
 
-/// A fault or a planned operation. Numbers are indexes of routers or replicas in the fleet.
+/// A fault or a planned operation. The `usize` values are indexes of routers or replicas in the
+/// fleet.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     /// Planned: stops a router with SIGTERM and starts it again after the stop's grace period.
@@ -62,17 +66,19 @@
     CorruptEntry(usize),
     /// Crashes a replica and starts it again at once. Its entry is updated later.
     RestartReplica(usize),
-    /// Makes a replica respond as a faulty mode says.
+    /// Switches a replica to a faulty mode until the fault ends.
     DegradeReplica(usize, ReplicaMode),
-    /// Holds back all bytes of a link: forward, backward, or both.
+    /// Holds back all bytes of a link until the fault ends. The booleans tell whether the forward
+    /// and the backward direction are frozen; if both are false, the backward direction is.
     FreezeLink(Link, bool, bool),
-    /// Delays both directions of a link by this many milliseconds.
+    /// Delays both directions of a link by a number of milliseconds.
     DelayLink(Link, u64),
     /// Refuses new connections over a link.
     RefuseConnects(Link),
-    /// Cuts the open connections of a link.
+    /// Closes the open connections of a link.
     CutConnections(Link),
-    /// Stalls the open connections of a link: they stay open and carry nothing any more.
+    /// Stalls the open connections of a link: until they are closed they carry no more data, also
+    /// after the fault has ended. New connections work.
     StallConnections(Link),
 }
 
@@ -124,7 +130,8 @@
         )
     }
 
-    /// Returns the name of what the fault acts on. Only one fault at a time acts on a target.
+    /// Returns the name of the target on which the fault acts; only one fault at a time is active
+    /// for a target. A new configuration and a compaction of the store share the target `operator`.
     fn target(self) -> String {
         match self {
             Fault::StopRouter(router)
@@ -153,10 +160,10 @@
             Fault::ReloadSettings(_)
             | Fault::PublishConfiguration
             | Fault::CompactStore
-            | Fault::CutConnections(_) => TICK,
+            | Fault::CutConnections(_) => LOOP_INTERVAL,
             Fault::CorruptEntry(_) => Duration::from_millis(1_200),
             Fault::RestartReplica(_) => Duration::from_millis(300),
-            Fault::StallConnections(_) => STALL_EFFECT,
+            Fault::StallConnections(_) => STALL_DURATION,
             Fault::KillRouter(_) => Duration::from_millis(random.random_range(100..MAX_DOWN_MS)),
             _ => Duration::from_millis(random.random_range(300..4_000)),
         }
@@ -170,8 +177,9 @@
 /// A fault that has begun and not ended.
 struct ActiveFault {
     fault: Fault,
+    /// When the fault is due to end, by the clock of the [`Recorder`].
     until: Duration,
-    /// Index of its span among the observations.
+    /// Index of the fault's [`FaultSpan`](super::record::FaultSpan) in the observations.
     span: usize,
 }
 
@@ -207,6 +215,8 @@
             return Ok(injected);
         }
         restart_exited_routers(fleet, recorder, &active_faults).await?;
+        // To simulate the bug, kills router 0 from the beginning of the third fault to that of the
+        // fourth.
         if recorder.simulated_bug == Some(Bug::UnexpectedExit) && injected.len() == 3 {
             fleet.routers[0].process.signal(Signal::SIGKILL)?;
         }
@@ -223,7 +233,7 @@
             let until = now + fault.duration(random);
             let busy_targets: HashSet<String> =
                 active_faults.iter().map(|active| active.fault.target()).collect();
-            if !busy_targets.contains(&fault.target()) && is_allowed(fault, &active_faults) {
+            if !busy_targets.contains(&fault.target()) && can_begin(fault, &active_faults) {
                 let stopped_router =
                     if let Fault::StopRouter(router) = fault { Some(router) } else { None };
                 let span = recorder.begin_span(stopped_router, fault.is_planned());
@@ -232,7 +242,7 @@
                 active_faults.push(ActiveFault { fault, until, span });
             }
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(LOOP_INTERVAL).await;
     }
 }
 
@@ -253,15 +263,17 @@
         router.process.wait_for_exit().await?;
         router.restart_count.fetch_add(1, Ordering::Relaxed);
         router.process.spawn()?;
-        tokio::time::sleep(TICK).await;
+        // Until the new process has installed its signal handlers, any signal terminates it.
+        tokio::time::sleep(LOOP_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Returns whether a fault may begin. Replicas are replaced one at a time: a replacement ends by
-/// moving the last replica of the list to the index of the removed one, which keeps the indexes of
-/// all other replicas only if the last replica is the new one.
-fn is_allowed(fault: Fault, active_faults: &[ActiveFault]) -> bool {
+/// Returns whether a fault may begin while others are active. Only one replica is replaced at a
+/// time: the end of a replacement moves the last replica in the list to the index of the removed
+/// one. With a single replacement, the last replica is the new one, and all others keep their
+/// index.
+fn can_begin(fault: Fault, active_faults: &[ActiveFault]) -> bool {
     let is_replacing =
         active_faults.iter().any(|active| matches!(active.fault, Fault::ReplaceReplica(_)));
     !(is_replacing && matches!(fault, Fault::ReplaceReplica(_)))
@@ -291,10 +303,11 @@
             fleet.add_replica(service)?;
             let replica = &fleet.replicas[number];
             fleet.list(replica, "draining");
+            // To simulate the bug, the record says that draining began earlier than it did.
             let is_falsified = recorder.simulated_bug == Some(Bug::RequestsAfterDrain);
             let backdating = if is_falsified { 2 * DRAINING_BOUND } else { Duration::ZERO };
             let at = recorder.now().saturating_sub(backdating);
-            recorder.observations().drained.push((replica.upstream.id.clone(), at));
+            recorder.observations().draining_since.push((replica.upstream.id.clone(), at));
         }
         Fault::DisruptStore(mode) => fleet.store.set_mode(mode),
         Fault::CompactStore => fleet.store.compact(),
@@ -332,7 +345,7 @@
             router.restart_count.fetch_add(1, Ordering::Relaxed);
             router.process.spawn()?;
             // Until the new process has installed its signal handlers, any signal terminates it.
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(LOOP_INTERVAL).await;
         }
         Fault::SuspendRouter(router) => fleet.routers[router].process.signal(Signal::SIGCONT)?,
         Fault::ReplaceReplica(number) => {
--- a/teaselworks_standin/src/soak/record.rs
+++ b/teaselworks_standin/src/soak/record.rs
@@ -168,7 +168,7 @@
     pub(super) version_probes: Vec<VersionProbe>,
     pub(super) fault_spans: Vec<FaultSpan>,
     /// Replicas that were listed as draining, and when the store took the entry.
-    pub(super) drained: Vec<(String, Duration)>,
+    pub(super) draining_since: Vec<(String, Duration)>,
     /// Routers whose process exited although no fault ended it, and when that was noticed.
     pub(super) unexpected_exits: Vec<(usize, Duration)>,
 }
