--- a/teaselworks/src/discovery/updater.rs
+++ b/teaselworks/src/discovery/updater.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records that another router can read the store. There is no outage of the store then, so
-    /// upstreams whose entries disappear get no grace period.
+    /// upstreams whose entries disappear get no re-registration period.
     pub fn on_read_elsewhere(&self) {
         self.registry().on_read_elsewhere();
     }
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Removes upstreams whose entries are still missing at the end of the grace period that
-    /// follows an outage of the store.
+    /// Removes upstreams whose entries are still missing at the end of the re-registration period
+    /// that follows an outage of the store.
     pub fn expire(&self) {
         if !self.registry().has_missing_entries() {
             return;
--- a/teaselworks/tests/store_updates.rs
+++ b/teaselworks/tests/store_updates.rs
@@ -303,7 +303,7 @@
 /// Guards against requests to a removed replica by a router that takes its own cut from the store
 /// for an outage in which entries of live replicas expired.
 #[tokio::test]
-async fn an_outage_of_one_router_gives_no_grace_period_to_removed_entries() {
+async fn an_outage_of_one_router_gives_no_reregistration_period_to_removed_entries() {
     let fleet = fleet(1).await;
     let (proxy, router) = start_cut_off_router(&fleet).await;
     tokio::time::sleep(Duration::from_millis(2_200)).await;
--- a/teaselworks_policy/src/upstream/registry.rs
+++ b/teaselworks_policy/src/upstream/registry.rs
@@ -13,7 +13,7 @@
 /// Time after the end of an outage within which live upstreams whose entries expired are listed
 /// again: about two seconds according to the platform, and a margin until the change reaches this
 /// router.
-const GRACE_PERIOD: Duration = Duration::from_millis(2_500);
+const REREGISTRATION_PERIOD: Duration = Duration::from_millis(2_500);
 
 /// An entry of the list, as read from the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -48,17 +48,18 @@
     /// The upstream is about to stop and takes no new requests.
     Draining(Arc<str>),
     /// The upstream's entry is missing after an outage of the store; the upstream stays in use
-    /// until the entry is back or the grace period ends.
+    /// until the entry is back or the re-registration period ends.
     Missing(Arc<str>),
     /// The upstream has been removed.
     Gone(Arc<str>),
 }
 
-/// An upstream that is listed or in a grace period.
+/// An upstream that is listed or in a re-registration period.
 #[derive(Clone, Debug)]
 struct Entry {
     upstream: Upstream,
-    /// End of the grace period of an entry that is missing from the list; `None` if it is listed.
+    /// End of the re-registration period of an entry that is missing from the list; `None` if it is
+    /// listed.
     missing_until: Option<Duration>,
     /// Whether the entry in the list cannot be decoded.
     is_suspended: bool,
@@ -67,14 +68,15 @@
 /// The upstreams that this router considers to exist.
 ///
 /// Entries of live upstreams expire while the store is down. Upstreams whose entries are missing
-/// right after such an outage are kept for a grace period, in which live ones register again.
+/// right after such an outage are kept for a re-registration period, in which live ones register
+/// again.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<Arc<str>, Entry>,
     /// When the list became unreadable; `None` while it can be read.
     lost_at: Option<Duration>,
-    /// End of the grace period after the last outage.
-    grace_until: Option<Duration>,
+    /// End of the re-registration period after the last outage.
+    reregistration_until: Option<Duration>,
 }
 
 impl Registry {
@@ -89,7 +91,7 @@
     }
 
     /// Records that other routers can read the list. There is no outage of the store then, so
-    /// entries that disappear get no grace period.
+    /// entries that disappear get no re-registration period.
     pub fn on_read_elsewhere(&mut self) {
         self.lost_at = None;
     }
@@ -99,7 +101,7 @@
     pub fn on_regained(&mut self, now: Duration) {
         let Some(lost_at) = self.lost_at.take() else { return };
         if now.saturating_sub(lost_at) >= MIN_EXPIRY_OUTAGE {
-            self.grace_until = Some(now + GRACE_PERIOD);
+            self.reregistration_until = Some(now + REREGISTRATION_PERIOD);
         }
     }
 
@@ -163,18 +165,18 @@
         Some(Change::Suspended(entry.upstream.id.clone()))
     }
 
-    /// Removes an entry. In the grace period after an outage, marks it as missing instead. Returns
-    /// `None` if the upstream is unknown or was missing before.
+    /// Removes an entry. In the re-registration period after an outage, marks it as missing instead.
+    /// Returns `None` if the upstream is unknown or was missing before.
     pub fn remove(&mut self, now: Duration, id: &str) -> Option<Change> {
         let entry = self.entries.get_mut(id)?;
         if entry.missing_until.is_some() {
             return None;
         }
-        let grace = self.grace_until.filter(|until| now < *until);
-        // No grace period for an upstream that announced that it stops, and for one whose last
-        // entry could not be decoded and thus was not written by the upstream.
-        let has_grace_period = !entry.upstream.is_draining && !entry.is_suspended;
-        if let Some(until) = grace.filter(|_| has_grace_period) {
+        let period_end = self.reregistration_until.filter(|until| now < *until);
+        // No re-registration period for an upstream that announced that it stops, and for one whose
+        // last entry could not be decoded and thus was not written by the upstream.
+        let may_reregister = !entry.upstream.is_draining && !entry.is_suspended;
+        if let Some(until) = period_end.filter(|_| may_reregister) {
             entry.missing_until = Some(until);
             return Some(Change::Missing(entry.upstream.id.clone()));
         }
@@ -201,7 +203,7 @@
         changes
     }
 
-    /// Removes missing entries whose grace period has ended.
+    /// Removes missing entries whose re-registration period has ended.
     pub fn expire(&mut self, now: Duration) -> Vec<Change> {
         let has_expired = |entry: &Entry| entry.missing_until.is_some_and(|until| now >= until);
         let expired: Vec<Arc<str>> = self
@@ -216,22 +218,22 @@
         expired.into_iter().map(Change::Gone).collect()
     }
 
-    /// Returns whether any entry is missing and kept for a grace period.
+    /// Returns whether any entry is missing and kept for a re-registration period.
     pub fn has_missing_entries(&self) -> bool {
         self.entries.values().any(|entry| entry.missing_until.is_some())
     }
 
-    /// Returns the upstreams that are listed or in a grace period.
+    /// Returns the upstreams that are listed or in a re-registration period.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.entries.values().map(|entry| &entry.upstream)
     }
 
-    /// Returns the number of upstreams that are listed or in a grace period.
+    /// Returns the number of upstreams that are listed or in a re-registration period.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no upstream is listed or in a grace period.
+    /// Returns whether no upstream is listed or in a re-registration period.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/teaselworks_policy/tests/registry.rs
+++ b/teaselworks_policy/tests/registry.rs
@@ -26,9 +26,10 @@
     assert!(registry.expire(seconds(60.0)).is_empty());
 }
 
-/// Guards against a grace period that never ends, so that a stopped upstream stays in use.
+/// Guards against a re-registration period that never ends, so that a stopped upstream stays in
+/// use.
 #[test]
-fn missing_entries_are_removed_after_the_grace_period() {
+fn missing_entries_are_removed_after_the_reregistration_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -39,9 +40,9 @@
     assert!(registry.is_empty());
 }
 
-/// Guards against a grace period for an upstream that announced that it stops.
+/// Guards against a re-registration period for an upstream that announced that it stops.
 #[test]
-fn a_draining_upstream_gets_no_grace_period() {
+fn a_draining_upstream_gets_no_reregistration_period() {
     let mut registry = Registry::new();
     registry.put(Upstream { is_draining: true, ..upstream("i-1") });
     registry.on_lost(seconds(10.0));
@@ -51,7 +52,7 @@
 
 /// Guards against taking one failed call for an outage in which entries expire.
 #[test]
-fn a_short_outage_gives_no_grace_period() {
+fn a_short_outage_gives_no_reregistration_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -59,9 +60,9 @@
     assert_eq!(registry.remove(seconds(10.6), "i-1"), Some(Change::Gone("i-1".into())));
 }
 
-/// Guards against a grace period for entries that are removed long after the outage.
+/// Guards against a re-registration period for entries that are removed long after the outage.
 #[test]
-fn removals_after_the_grace_period_apply_at_once() {
+fn removals_after_the_reregistration_period_apply_at_once() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -71,7 +72,7 @@
 
 /// Guards against taking a fault of this router for an outage of the store in which entries expire.
 #[test]
-fn an_outage_of_one_router_gives_no_grace_period() {
+fn an_outage_of_one_router_gives_no_reregistration_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
@@ -118,9 +119,10 @@
     assert_eq!(registry.put(upstream("i-1")), Some(Change::Serving(upstream("i-1"))));
 }
 
-/// Guards against a grace period for a replica whose last entry was written by someone else.
+/// Guards against a re-registration period for a replica whose last entry was written by someone
+/// else.
 #[test]
-fn a_suspended_replica_gets_no_grace_period() {
+fn a_suspended_replica_gets_no_reregistration_period() {
     let mut registry = Registry::new();
     registry.put(upstream("i-1"));
     registry.on_lost(seconds(10.0));
