--- a/teaselworks_policy/src/upstream/reach.rs
+++ b/teaselworks_policy/src/upstream/reach.rs
@@ -9,7 +9,7 @@
 
 /// Number of failures, over all routers, that marks a replica as unresponsive. Other routers pass a
 /// router's own failures back to it, so that one failure may count twice and must not be enough.
-const FAILURES_TO_EJECT: u32 = 3;
+const FLEET_FAILURES_TO_EJECT: u32 = 3;
 /// Time for which a failure is kept after this router learnt of it.
 const FAILURE_LIFETIME: Duration = Duration::from_secs(3);
 
@@ -61,7 +61,7 @@
         let sent_at = now.saturating_sub(shared.age);
         self.add(now, Failures { count: shared.count, sent_at, received_at: now, is_own: false });
         let known: u32 = self.failures.iter().map(|failures| failures.count).sum();
-        known >= FAILURES_TO_EJECT
+        known >= FLEET_FAILURES_TO_EJECT
     }
 
     /// Records that the upstream responded at the time `at`. Requests that were sent before and
