--- a/teaselworks/src/discovery/registrar.rs
+++ b/teaselworks/src/discovery/registrar.rs
@@ -20,23 +20,23 @@
 pub struct Registrar {
     store: Store,
     key: String,
-    peer_address: SocketAddr,
+    peers_address: SocketAddr,
     lease_time: Duration,
     shutdown: Shutdown,
 }
 
 impl Registrar {
-    /// Creates the task of a router that others can query at `peer_address`. The lease is not
+    /// Creates the task of a router that others can query at `peers_address`. The lease is not
     /// shorter than `shortest_lease`.
     pub fn new(
         store: Store,
         name: &str,
-        peer_address: SocketAddr,
+        peers_address: SocketAddr,
         shortest_lease: Duration,
         shutdown: Shutdown,
     ) -> Self {
         let lease_time = LEASE_TIME.max(shortest_lease);
-        Self { store, key: registration_key(name), peer_address, lease_time, shutdown }
+        Self { store, key: registration_key(name), peers_address, lease_time, shutdown }
     }
 
     /// Keeps the router registered until a planned stop begins, and then ends the registration.
@@ -70,7 +70,7 @@
             *lease = None;
         }
         let new_lease = self.store.grant_lease(self.lease_time).await?;
-        let value = registration_value(self.peer_address);
+        let value = registration_value(self.peers_address);
         if self.store.put(&self.key, &value, new_lease).await? {
             *lease = Some(new_lease);
             event::REGISTERED.log(&[
