--- a/teaselworks_policy/src/membership.rs
+++ b/teaselworks_policy/src/membership.rs
@@ -1,5 +1,5 @@
 //! The other routers of the fleet: which are registered, which of them read the store for the rest,
-//! and which to ask when the store does not answer.
+//! and which to query when the store does not answer.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Time for which a router that is no longer registered is still asked. Its lease may have expired
-/// only because it cannot reach the store either.
+/// Time for which a router that is no longer registered is still queried. Its lease may have
+/// expired only because it cannot reach the store either.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// A router that is registered in the store, or was until recently.
@@ -188,7 +188,7 @@
         assigned.map(|(_, peer)| peer.address)
     }
 
-    /// Returns the addresses of the other routers in the order in which to ask them: registered
+    /// Returns the addresses of the other routers in the order in which to query them: registered
     /// routers, those no longer registered, then the seed addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
--- a/teaselworks_policy/tests/membership.rs
+++ b/teaselworks_policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which routers a router counts as alive, asks for changes, and lets read the store.
+//! Which routers a router counts as alive, queries for changes, and lets read the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,17 +9,17 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// Guards against a router that has no other router to ask, because all registrations expired
+/// Guards against a router that has no other router to query, because all registrations expired
 /// during an outage of the store.
 #[test]
-fn routers_with_expired_lease_are_asked_but_not_counted() {
+fn routers_with_expired_lease_are_queried_but_not_counted() {
     let mut membership = Membership::new("a".into(), vec![address(1)]);
     membership.put("a".into(), address(1));
     membership.put("b".into(), address(2));
     assert_eq!(membership.live_count(), 2);
     assert!(membership.remove(Duration::from_secs(5), "b"));
     assert_eq!(membership.live_count(), 1);
-    assert_eq!(membership.addresses(), [address(2)], "a router must not ask itself");
+    assert_eq!(membership.addresses(), [address(2)], "a router must not query itself");
 }
 
 /// Guards against a list of routers that grows with every router that is replaced.
