--- a/teaselworks/tests/platform.rs
+++ b/teaselworks/tests/platform.rs
@@ -173,10 +173,17 @@
     ) {
         let changes = vec![ItemChange::Written(item("servers/i-1", &value))];
         let load = SharedLoad { incarnation: 7, total: 3, age: Duration::from_millis(9) };
-        let observations = PackedObservations::pack(&SharedObservations { loads: vec![load], ..SharedObservations::default() });
-        let answer = PeerResponse { reads_store: true, update: StoreUpdate::Changes(changes), observations };
-        let bytes = message::encode(&answer).unwrap();
-        prop_assert_eq!(message::decode::<PeerResponse>(&bytes).unwrap().update, answer.update);
+        let observations = PackedObservations::pack(&SharedObservations {
+            loads: vec![load],
+            ..SharedObservations::default()
+        });
+        let response = PeerResponse {
+            reads_store: true,
+            update: StoreUpdate::Changes(changes),
+            observations,
+        };
+        let bytes = message::encode(&response).unwrap();
+        prop_assert_eq!(message::decode::<PeerResponse>(&bytes).unwrap().update, response.update);
         prop_assert!(message::decode::<PeerResponse>(&bytes[..cut.index(bytes.len())]).is_err());
     }
 
