--- a/teaselworks/src/relay/serving.rs
+++ b/teaselworks/src/relay/serving.rs
@@ -10,14 +10,14 @@
 use teaselworks_policy::verdict::{Refusal, RefusalReason, Verdict};
 
 use super::Shared;
-use super::in_flight::InFlight;
-use super::request::{Prepared, RequestBody};
+use super::in_flight::InFlightRequest;
+use super::request::{PreparedRequest, RequestBody};
 use crate::event;
 
 /// A request that is being served.
 pub(super) struct Serving {
     pub(super) shared: Arc<Shared>,
-    pub(super) prepared: Prepared,
+    pub(super) prepared: PreparedRequest,
     pub(super) configuration: Arc<Configuration>,
     pub(super) body: RequestBody,
     tried: Vec<Arc<str>>,
@@ -27,7 +27,7 @@
 impl Serving {
     pub(super) fn new(
         shared: Arc<Shared>,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         configuration: Arc<Configuration>,
         body: RequestBody,
     ) -> Self {
@@ -94,8 +94,8 @@
     }
 
     /// Takes over the count of a placement.
-    pub(super) fn in_flight(&self, placement: &Placement) -> InFlight {
-        InFlight::new(self.shared.clone(), self.prepared.service.clone(), placement)
+    pub(super) fn in_flight(&self, placement: &Placement) -> InFlightRequest {
+        InFlightRequest::new(self.shared.clone(), self.prepared.service.clone(), placement)
     }
 
     /// Decides what follows a failed attempt, or a stream that broke off; a refusal where nothing
@@ -106,7 +106,7 @@
         }
         let now = self.shared.now();
         // A body that was sent on while it arrived is gone: no other upstream can be offered it.
-        let tried_count = if self.body.is_held() { self.attempts() } else { u32::MAX };
+        let tried_count = if self.body.is_buffered() { self.attempts() } else { u32::MAX };
         let attempts = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
             tried_count,
@@ -157,7 +157,7 @@
         let remaining = self.prepared.deadline.remaining(now);
         let has_run_left = self.runs + 1 < route.max_attempts;
         route.is_idempotent()
-            && self.body.is_held()
+            && self.body.is_buffered()
             && has_run_left
             && remaining > route.target_latency
             && self.shared.fleet().try_take_retry(now, &self.prepared.service)
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -15,9 +15,9 @@
 
 use super::EventSplitter;
 use super::attempt::{Answer, Attempt};
-use super::body::{BodyError, Outgoing};
-use super::in_flight::InFlight;
-use super::outcome::Progress;
+use super::body::{BodyError, OutgoingBody};
+use super::in_flight::InFlightRequest;
+use super::request_progress::RequestProgress;
 use super::serving::{Serving, symptom};
 use super::upstream_connection::Connection;
 
@@ -37,12 +37,12 @@
     body: Incoming,
     connection: Connection,
     closes: bool,
-    in_flight: InFlight,
+    in_flight: InFlightRequest,
 }
 
 impl Streaming {
     /// Takes an answer of which `first` was read already.
-    pub(super) fn new(answer: Answer, in_flight: InFlight, first: Bytes) -> Self {
+    pub(super) fn new(answer: Answer, in_flight: InFlightRequest, first: Bytes) -> Self {
         let Answer { status, headers, facts, body, connection } = answer;
         let source = Source { body, connection, closes: facts.closes_connection, in_flight };
         Self { status, headers, source, first }
@@ -58,8 +58,8 @@
 pub(super) fn respond(
     streaming: Streaming,
     mut serving: Serving,
-    progress: Progress,
-) -> Response<Outgoing> {
+    progress: RequestProgress,
+) -> Response<OutgoingBody> {
     serving.release_request();
     let splitter = streaming.has_events().then(EventSplitter::default);
     let remaining = serving.prepared.deadline.remaining(serving.shared.now());
@@ -109,7 +109,7 @@
     silence: Pin<Box<Sleep>>,
     last_at: Duration,
     serving: Serving,
-    progress: Progress,
+    progress: RequestProgress,
 }
 
 impl StreamRelay {
@@ -182,17 +182,17 @@
     }
 
     fn has_part(&self) -> bool {
-        self.splitter.as_ref().is_some_and(EventSplitter::holds_part)
+        self.splitter.as_ref().is_some_and(EventSplitter::has_partial_event)
     }
 
     /// Goes on at another upstream after the last whole event.
     async fn resume(&mut self, mut failure: Failure) -> Result<(), BodyError> {
         // The connection is closed before another upstream goes on with the work.
         if let Some(mut source) = self.source.take() {
-            source.in_flight.observe(RequestOutcome::NoAnswer);
+            source.in_flight.set_outcome(RequestOutcome::NoAnswer);
         }
         let Some(splitter) = &mut self.splitter else { return Err(BodyError::Broken) };
-        splitter.drop_part();
+        splitter.discard_partial_event();
         let last_id = splitter.last_id().map(str::to_owned);
         loop {
             self.serving.next(failure, true).map_err(|_| BodyError::Broken)?;
@@ -211,18 +211,18 @@
             let answer = match attempt.run(body, size_bytes).await {
                 Ok(answer) if answer.status == self.status => answer,
                 Ok(_) => {
-                    in_flight.observe(RequestOutcome::Error);
+                    in_flight.set_outcome(RequestOutcome::Error);
                     failure = Failure::Failed;
                     continue;
                 }
                 Err(attempt_failure) => {
-                    in_flight.observe(symptom(attempt_failure));
+                    in_flight.set_outcome(symptom(attempt_failure));
                     failure = attempt_failure;
                     continue;
                 }
             };
             if let Some(load) = answer.facts.load {
-                in_flight.report(load);
+                in_flight.on_load_report(load);
             }
             let Answer { facts, body, connection, .. } = answer;
             self.source =
@@ -236,7 +236,7 @@
         let Self { source, serving, progress, status, .. } = self;
         let Some(Source { mut in_flight, connection, closes, body }) = source else { return };
         drop(body);
-        in_flight.observe(RequestOutcome::Answered);
+        in_flight.set_outcome(RequestOutcome::Answered);
         let attempts = serving.attempts();
         progress.answered(status.as_u16(), in_flight.upstream(), attempts);
         if !closes {
@@ -249,7 +249,7 @@
         let Self { source, serving, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
         if let Some(mut source) = source.filter(|_| cause != BodyError::Deadline) {
-            source.in_flight.observe(RequestOutcome::NoAnswer);
+            source.in_flight.set_outcome(RequestOutcome::NoAnswer);
         }
         progress.broken(cause, upstream.as_deref().unwrap_or(""), serving.attempts());
     }
--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -1,4 +1,5 @@
-//! What callers may send, and what they get for what they may not.
+//! How the router reads, checks and forwards the requests of callers, which requests it refuses,
+//! and how it limits the connections of callers.
 
 mod common;
 
@@ -11,8 +12,10 @@
 use teaselworks_standin::fleet::Fleet;
 use teaselworks_standin::upstream::{Script, Step};
 
+/// Guards against forwarded requests that lose a part of what the caller sent, or that carry a
+/// caller's forged value of a header which only the router may set.
 #[tokio::test]
-async fn a_request_reaches_a_replica_unchanged_but_for_what_routers_add() {
+async fn requests_are_forwarded_unchanged_except_for_headers_of_the_router() {
     let fleet = fleet(1).await;
     let sent = request("POST", "/write/tag?of=verse%201", "0a1b")
         .with_header("X-Note", "kept")
@@ -28,25 +31,27 @@
     assert_eq!(reply.head.header("x-server-stamp"), Some("stamp-0a1b"));
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
-    let [received] = &received[..] else { panic!("{received:?}") };
-    assert_eq!(received.target(), ("POST", "/write/tag?of=verse%201"));
-    assert_eq!(received.body.bytes, b"dialect: dolenjsko");
-    assert_eq!(received.head.header("host"), Some(HOST));
-    assert_eq!(received.head.header("x-note"), Some("kept"));
-    assert_eq!(received.head.header("x-tenant"), Some(WORKSPACE));
-    assert_eq!(received.head.header_count("x-tenant"), 1);
+    let [req] = &received[..] else { panic!("{received:?}") };
+    assert_eq!(req.target(), ("POST", "/write/tag?of=verse%201"));
+    assert_eq!(req.body.bytes, b"dialect: dolenjsko");
+    assert_eq!(req.head.header("host"), Some(HOST));
+    assert_eq!(req.head.header("x-note"), Some("kept"));
+    assert_eq!(req.head.header("x-tenant"), Some(WORKSPACE));
+    assert_eq!(req.head.header_count("x-tenant"), 1);
     for dropped in ["authorization", "x-cache-hold", "kv-from", "kv-fetch", "x-hop"] {
-        assert_eq!(received.head.header(dropped), None, "{dropped}");
+        assert_eq!(req.head.header(dropped), None, "{dropped}");
     }
     let expected =
         fleet.services.iter().find(|service| !service.received_requests().is_empty()).unwrap();
-    assert_eq!(received.head.header("x-expect-instance"), Some(expected.id.as_str()));
-    let remaining: u64 = received.head.header("x-deadline-ms").unwrap().parse().unwrap();
+    assert_eq!(req.head.header("x-expect-instance"), Some(expected.id.as_str()));
+    let remaining: u64 = req.head.header("x-deadline-ms").unwrap().parse().unwrap();
     assert!(remaining <= 6_000, "{remaining}");
 }
 
+/// Guards against chunked bodies that lose bytes when they are read and framed again: the chunks
+/// arrive one by one, and one has a chunk extension.
 #[tokio::test]
-async fn a_chunked_body_arrives_whole() {
+async fn a_chunked_body_is_forwarded_completely() {
     let fleet = fleet(1).await;
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     let head = format!(
@@ -63,8 +68,10 @@
     assert_eq!(received[0].body.bytes, b"abcdefg");
 }
 
+/// Guards against the loss or reordering of bytes in a body that is too long to be buffered and is
+/// therefore forwarded while it arrives.
 #[tokio::test]
-async fn a_long_body_is_sent_on_whole() {
+async fn a_body_too_long_to_buffer_is_forwarded_completely() {
     let fleet = fleet(1).await;
     let body = "a verse and another ".repeat(30_000);
     let sent = request("POST", "/write/a", "long").with_body(&body);
@@ -75,8 +82,10 @@
     assert!(received[0].body.is_whole);
 }
 
+/// Guards against requests that reach a replica although the router has to refuse them: an unknown
+/// route or host, no valid API key, a body that is too large, or invalid or duplicate headers.
 #[tokio::test]
-async fn what_the_configuration_does_not_allow_is_refused_and_does_not_run() {
+async fn requests_that_fail_a_check_are_refused_and_reach_no_replica() {
     let fleet = fleet(1).await;
     let address = fleet.routers[0].callers_address();
     let cases = [
@@ -101,11 +110,13 @@
         assert_eq!(reply.head.header("x-server-stamp"), None);
     }
     assert!(fleet.services.iter().all(|service| service.received_requests().is_empty()));
-    // What was refused has no effect on others.
+    // The refused requests have no effect on a valid one that follows.
     assert_eq!(call(address, &request("GET", "/read/a", "after")).await.unwrap().status(), 200);
 }
 
-/// Guards against a request hidden in the body of another by conflicting lengths.
+/// Guards against request smuggling: if a head states conflicting or invalid body lengths, the
+/// router and a replica could disagree on where the body ends, and one of them could take a part of
+/// it for another request.
 #[tokio::test]
 async fn conflicting_lengths_smuggle_no_request() {
     let fleet = fleet(1).await;
@@ -129,14 +140,16 @@
     }
     let received: Vec<_> =
         fleet.services.iter().flat_map(|service| service.received_requests()).collect();
-    assert!(received.iter().all(|received| received.id() != "hidden"), "{received:?}");
-    for received in &received {
-        assert!(!String::from_utf8_lossy(&received.body.bytes).contains("hidden"), "{received:?}");
+    assert!(received.iter().all(|req| req.id() != "hidden"), "{received:?}");
+    for req in &received {
+        assert!(!String::from_utf8_lossy(&req.body.bytes).contains("hidden"), "{req:?}");
     }
 }
 
+/// Guards against heads that are not HTTP, or larger than the limit, and get no answer or a wrong
+/// status.
 #[tokio::test]
-async fn heads_that_are_no_http_or_too_large_are_refused() {
+async fn invalid_or_too_large_heads_are_refused() {
     let fleet = fleet(1).await;
     let large =
         format!("GET /read/a HTTP/1.1\r\nHost: {HOST}\r\nX-Long: {}\r\n\r\n", "x".repeat(40_000));
@@ -147,7 +160,8 @@
     }
 }
 
-/// Guards against connections without a whole request that take every descriptor.
+/// Guards against connections that use up the file descriptors without a complete request: callers
+/// that send a head too slowly, and connections that stay idle.
 #[tokio::test]
 async fn slow_heads_and_idle_connections_are_closed() {
     let mut configuration = TestConfiguration::default();
@@ -163,9 +177,10 @@
     assert!(!matches!(idle.read_head().await, Ok(Some(_))));
 }
 
-/// Guards against an idle connection that is closed by the timeout of heads.
+/// Guards against an idle connection that is closed after the header timeout, which applies only
+/// while a head is arriving.
 #[tokio::test]
-async fn a_connection_idle_within_its_timeout_is_used_again() {
+async fn a_connection_idle_for_less_than_the_idle_timeout_is_reused() {
     let mut configuration = TestConfiguration::default();
     configuration.value["limits"]["header_timeout_ms"] = json!(200);
     configuration.value["limits"]["idle_timeout_ms"] = json!(20_000);
@@ -178,17 +193,18 @@
     }
 }
 
-/// Guards against replicas that work for callers that have left.
+/// Guards against replicas that keep working on a request whose caller has closed its connection,
+/// before the answer began or in the middle of a stream.
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work() {
+async fn a_caller_that_leaves_ends_its_request_at_the_replica() {
     let fleet = fleet(1).await;
     for engine in &fleet.engines {
-        engine.set_behaviour(|received| {
-            Script::stream(received, 1..2, Duration::ZERO, false).then(Step::Silence)
+        engine.set_behaviour(|req| {
+            Script::stream(req, 1..2, Duration::ZERO, false).then(Step::Silence)
         });
     }
     for service in &fleet.services {
-        service.set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
+        service.set_behaviour(|_| Script::new(vec![Step::Silence]));
     }
     let address = fleet.routers[0].callers_address();
     let mut streaming = Connection::open(address).await.unwrap();
@@ -196,24 +212,27 @@
     assert!(streaming.read_head().await.unwrap().is_some());
     let mut waiting = Connection::open(address).await.unwrap();
     waiting.send(&request("POST", "/write/a", "b2")).await.unwrap();
-    let reached = || fleet.services.iter().any(|service| !service.received_requests().is_empty());
-    teaselworks_standin::fleet::wait_until("the request is at a replica", async || reached())
+    let is_received =
+        || fleet.services.iter().any(|service| !service.received_requests().is_empty());
+    teaselworks_standin::fleet::wait_until("the request reached a replica", async || is_received())
         .await
         .unwrap();
     drop(streaming);
     drop(waiting);
-    let broken_off = || -> Vec<String> {
+    let aborted = || -> Vec<String> {
         let upstreams = fleet.engines.iter().chain(&fleet.services);
         upstreams.flat_map(|upstream| upstream.aborted_requests()).collect()
     };
-    teaselworks_standin::fleet::wait_until("both are ended", async || broken_off().len() == 2)
+    teaselworks_standin::fleet::wait_until("both requests ended", async || aborted().len() == 2)
         .await
         .unwrap();
     fleet.routers[0].wait_for_events("caller_left", 2).await.unwrap();
 }
 
+/// Guards against an anonymous route that requires an API key, or that forwards a workspace header
+/// which the caller made up.
 #[tokio::test]
-async fn anonymous_routes_need_no_key_and_name_no_workspace() {
+async fn anonymous_routes_need_no_key_and_forward_no_workspace() {
     let mut configuration = TestConfiguration::default();
     configuration.route_mut("/read/")["anonymous"] = json!(true);
     let fleet = fleet_with(1, configuration, &json!({})).await;
@@ -224,8 +243,8 @@
     assert_eq!(received[0].head.header("x-tenant"), None);
 }
 
-/// Starts a router again that may have few descriptors: 48 of them for callers.
-async fn with_few_descriptors(fleet: &mut Fleet) {
+/// Restarts the router with a limit of 64 file descriptors, of which callers may use 48.
+async fn restart_with_few_descriptors(fleet: &mut Fleet) {
     let router = &mut fleet.routers[0];
     router.signal(nix::sys::signal::Signal::SIGKILL).unwrap();
     router.wait_for_exit().await.unwrap();
@@ -234,74 +253,88 @@
     router.wait_until_ready().await.unwrap();
 }
 
-/// Guards against callers whose connections leave no descriptor to reach an upstream.
+/// Guards against connections of callers that use up the file descriptors, so that none is left to
+/// connect to an upstream: the router accepts no more than 48 callers, and the next one waits until
+/// one of them closes its connection.
 #[tokio::test]
 async fn callers_leave_descriptors_for_upstreams() {
     let mut fleet = fleet(1).await;
-    with_few_descriptors(&mut fleet).await;
+    restart_with_few_descriptors(&mut fleet).await;
     for service in &fleet.services {
-        service.set_behaviour(|_| Script::from_steps(vec![Step::Silence]));
+        service.set_behaviour(|_| Script::new(vec![Step::Silence]));
     }
     let router = &fleet.routers[0];
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     for number in 0..48 {
         let mut connection = Connection::open(router.callers_address()).await.unwrap();
         connection.send(&request("POST", "/write/a", &format!("c{number}"))).await.unwrap();
-        open.push(connection);
+        connections.push(connection);
     }
     router.wait_for_events("request_placed", 48).await.unwrap();
+    // The event is logged before the request reaches a service. A request that reached its service
+    // after the change of behaviour would be answered and its connection closed, and the late
+    // caller would not have to wait.
+    let received_count =
+        || fleet.services.iter().map(|service| service.received_requests().len()).sum::<usize>();
+    teaselworks_standin::fleet::wait_until("48 requests reached services", async || {
+        received_count() == 48
+    })
+    .await
+    .unwrap();
     for service in &fleet.services {
-        service.set_behaviour(|received| Script::response(received, 200, "a verse"));
+        service.set_behaviour(|req| Script::response(req, 200, "a verse"));
     }
     let mut late = Connection::open(router.callers_address()).await.unwrap();
     late.send(&request("GET", "/read/a", "late")).await.unwrap();
-    let waiting = tokio::time::timeout(Duration::from_millis(300), late.read_reply()).await;
-    assert!(waiting.is_err(), "{waiting:?}");
-    drop(open.pop());
+    let early_reply = tokio::time::timeout(Duration::from_millis(300), late.read_reply()).await;
+    assert!(early_reply.is_err(), "{early_reply:?}");
+    drop(connections.pop());
     assert_eq!(late.read_reply().await.unwrap().unwrap().status(), 200);
 }
 
-/// Guards against requests that are read after their callers have left, since idle connections of
-/// others hold every descriptor.
+/// Guards against requests that wait to be accepted until their callers have left, because idle
+/// connections use all descriptors for callers. Once more than half of the 48 connections are open,
+/// the router closes each connection after its answer.
 #[tokio::test]
-async fn idle_callers_make_room_for_others() {
+async fn idle_connections_are_closed_to_accept_other_callers() {
     let mut fleet = fleet(1).await;
-    with_few_descriptors(&mut fleet).await;
+    restart_with_few_descriptors(&mut fleet).await;
     let router = &fleet.routers[0];
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     for number in 0..100 {
         let mut connection = Connection::open(router.callers_address()).await.unwrap();
         let sent = request("GET", "/read/a", &format!("c{number}"));
         let reply = connection.call(&sent).await.unwrap().unwrap();
         assert_eq!(reply.status(), 200);
         assert_eq!(reply.head.header("connection").is_some(), number >= 24, "{number}");
-        open.push(connection);
+        connections.push(connection);
     }
 }
 
-/// Guards against requests that are lost where they arrive together, or in parts, on one connection.
+/// Guards against lost requests when several arrive at once on one connection, or one arrives in
+/// two parts.
 #[tokio::test]
 async fn requests_that_arrive_together_or_in_parts_are_all_answered() {
     let fleet = fleet(1).await;
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     let bytes: Vec<u8> =
         ["1", "2", "3"].iter().flat_map(|id| request("GET", "/read/a", id).bytes()).collect();
-    let in_third = bytes.len() - 20;
-    connection.write(&bytes[..in_third]).await.unwrap();
+    let split_at = bytes.len() - 20;
+    connection.write(&bytes[..split_at]).await.unwrap();
     for id in ["1", "2"] {
         let reply = connection.read_reply().await.unwrap().unwrap();
         assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some(id)));
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
-    connection.write(&bytes[in_third..]).await.unwrap();
+    connection.write(&bytes[split_at..]).await.unwrap();
     let reply = connection.read_reply().await.unwrap().unwrap();
     assert_eq!((reply.status(), reply.head.header("x-request-id")), (200, Some("3")));
 }
 
-/// Guards against the rest of a body, of a request that was refused before it was read, taken for the
-/// next request.
+/// Guards against request smuggling through a refused request: the router refuses it before it
+/// reads the body, and could take the body that is still arriving for the next request.
 #[tokio::test]
-async fn the_rest_of_a_refused_body_is_no_request() {
+async fn the_unread_body_of_a_refused_request_is_not_run() {
     let fleet = fleet(1).await;
     let smuggled = request("POST", "/write/a", "smuggled").bytes();
     let head = format!(
@@ -312,7 +345,7 @@
     let mut connection = Connection::open(fleet.routers[0].callers_address()).await.unwrap();
     connection.write(head.as_bytes()).await.unwrap();
     assert_eq!(connection.read_reply().await.unwrap().unwrap().status(), 401);
-    // The router may have closed the connection.
+    // Errors are ignored: the router may have closed the connection already.
     let _ = connection.write(&smuggled).await;
     let _ = connection.read_reply().await;
     assert_eq!(
--- a/teaselworks/tests/store_updates.rs
+++ b/teaselworks/tests/store_updates.rs
@@ -131,9 +131,7 @@
 async fn requests_in_progress_at_a_replica_with_an_overwritten_entry_finish() {
     let fleet = fleet(1).await;
     for engine in &fleet.engines {
-        engine.set_behaviour(|received| {
-            Script::stream(received, 1..21, Duration::from_millis(50), true)
-        });
+        engine.set_behaviour(|req| Script::stream(req, 1..21, Duration::from_millis(50), true));
     }
     let address = fleet.routers[0].callers_address();
     let streaming = tokio::spawn(async move { call(address, &chat("/chat/a", "s", 1)).await });
@@ -273,8 +271,7 @@
         fleet.list(service, ARCHIVE_SERVICE, "draining");
     }
     fleet.routers[0].wait_for_events("upstream_draining", 2).await.unwrap();
-    let added =
-        Upstream::start("service-3", |received| Script::response(received, 200, "new")).unwrap();
+    let added = Upstream::start("service-3", |req| Script::response(req, 200, "new")).unwrap();
     fleet.list(&added, ARCHIVE_SERVICE, "ready");
     wait_for_status(&fleet.routers[0], "/read/a", 200).await;
     assert!(!added.received_requests().is_empty());
