--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -453,5 +453,5 @@
         let expected = req.head.header("x-expect-instance").unwrap().to_owned();
         assert!(fleet.archives.iter().any(|service| service.id == expected));
     }
-    fleet.list(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
 }
--- a/teaselworks/tests/restarts.rs
+++ b/teaselworks/tests/restarts.rs
@@ -19,8 +19,8 @@
 /// and nothing more.
 async fn silent_engine(fleet: &Fleet) -> Proxy {
     let proxy = Proxy::start(fleet.engines[0].address()).unwrap();
-    fleet.list(&fleet.engines[1], CHAT_SERVICE, "draining");
-    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
+    fleet.put_entry(&fleet.engines[1], CHAT_SERVICE, "draining");
+    fleet.put_entry_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.engines[0].set_behaviour(|req| {
         let first = [stream_head(req.id()), chunk(&event(1))].concat();
@@ -35,7 +35,7 @@
     proxy.stall();
     fleet.engines[0].set_behaviour(|req| Script::stream(req, 1..4, Duration::ZERO, true));
     fleet.engines[0].restart().await.unwrap();
-    fleet.list_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
+    fleet.put_entry_at(&fleet.engines[0], proxy.address(), CHAT_SERVICE, "ready");
 }
 
 /// Guards against a stream that stays open until its deadline, or ends as if it were complete,
@@ -71,7 +71,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     fleet.engines[1].set_behaviour(|req| Script::stream(req, 2..6, Duration::ZERO, true));
-    fleet.list(&fleet.engines[1], CHAT_SERVICE, "ready");
+    fleet.put_entry(&fleet.engines[1], CHAT_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_serving", 6).await.unwrap();
     restart_behind_stalled_proxy(&fleet, &proxy).await;
     let reply = streaming.await.unwrap().unwrap();
@@ -87,8 +87,8 @@
 async fn a_request_that_reached_an_earlier_start_may_have_run() {
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.archives[0].address()).unwrap();
-    fleet.list(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
-    fleet.list_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
+    fleet.put_entry_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     fleet.archives[0].set_behaviour(|_| Script::new(vec![Step::Silence]));
     let address = fleet.routers[0].callers_address();
@@ -101,7 +101,7 @@
     proxy.stall();
     fleet.archives[0].set_behaviour(|req| Script::response(req, 200, "a verse"));
     fleet.archives[0].restart().await.unwrap();
-    fleet.list_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
+    fleet.put_entry_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     let since = Instant::now();
     assert_eq!(waiting.await.unwrap().unwrap().status(), 502);
     assert!(since.elapsed() < PROMPT_LIMIT, "{:?}", since.elapsed());
@@ -114,15 +114,15 @@
 async fn idle_connections_to_an_earlier_start_are_closed() {
     let fleet = fleet(1).await;
     let proxy = Proxy::start(fleet.archives[0].address()).unwrap();
-    fleet.list(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
-    fleet.list_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
+    fleet.put_entry_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let address = fleet.routers[0].callers_address();
     assert_eq!(call(address, &request("POST", "/write/a", "w1")).await.unwrap().status(), 200);
 
     proxy.stall();
     fleet.archives[0].restart().await.unwrap();
-    fleet.list_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
+    fleet.put_entry_at(&fleet.archives[0], proxy.address(), ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     let reply = call(address, &request("POST", "/write/a", "w2")).await.unwrap();
     assert_eq!((reply.status(), fleet.archives[0].run_count("w2")), (200, 1));
@@ -140,11 +140,11 @@
         "ready",
     );
     fleet.archives[0].restart().await.unwrap();
-    fleet.list(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
     fleet.routers[0].wait_for_events("upstream_restarted", 1).await.unwrap();
     fleet.store.put_json("servers/service-1", &earlier);
     fleet.routers[0].wait_for_events("upstream_stale", 1).await.unwrap();
-    fleet.list(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
+    fleet.put_entry(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     let reply =
         call(fleet.routers[0].callers_address(), &request("GET", "/read/a", "1")).await.unwrap();
--- a/teaselworks/tests/store_updates.rs
+++ b/teaselworks/tests/store_updates.rs
@@ -115,7 +115,7 @@
     assert!(fleet.archives[0].received_requests().is_empty());
 
     fleet.store.put_json("servers/service-1", &good(&fleet));
-    fleet.list(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
+    fleet.put_entry(&fleet.archives[1], ARCHIVE_SERVICE, "draining");
     wait_for_status(&fleet.routers[0], "/read/a", 200).await;
     wait_until("the replica is used again", async || {
         status(&fleet.routers[0], "/read/a", "again").await;
@@ -241,8 +241,8 @@
     fleet.store.set_mode(Mode::Unavailable);
     fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     publish_new_route(&mut fleet);
-    fleet.list(&fleet.archives[0], ARCHIVE_SERVICE, "draining");
-    fleet.unlist("service-2");
+    fleet.put_entry(&fleet.archives[0], ARCHIVE_SERVICE, "draining");
+    fleet.remove_entry("service-2");
     fleet.store.compact();
     fleet.store.set_mode(Mode::Serving);
     fleet.routers[0].wait_for_events("history_lost", 1).await.unwrap();
@@ -255,7 +255,7 @@
 #[tokio::test]
 async fn a_draining_replica_gets_no_new_requests() {
     let fleet = fleet(1).await;
-    fleet.list(&fleet.archives[0], ARCHIVE_SERVICE, "draining");
+    fleet.put_entry(&fleet.archives[0], ARCHIVE_SERVICE, "draining");
     fleet.routers[0].wait_for_events("upstream_draining", 1).await.unwrap();
     for turn in 0..10 {
         assert_eq!(status(&fleet.routers[0], "/read/a", &format!("d{turn}")).await, 200);
@@ -268,11 +268,11 @@
 async fn an_added_replica_is_used() {
     let fleet = fleet(1).await;
     for service in &fleet.archives {
-        fleet.list(service, ARCHIVE_SERVICE, "draining");
+        fleet.put_entry(service, ARCHIVE_SERVICE, "draining");
     }
     fleet.routers[0].wait_for_events("upstream_draining", 2).await.unwrap();
     let added = Upstream::start("service-3", |req| Script::response(req, 200, "new")).unwrap();
-    fleet.list(&added, ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&added, ARCHIVE_SERVICE, "ready");
     wait_for_status(&fleet.routers[0], "/read/a", 200).await;
     assert!(!added.received_requests().is_empty());
 }
@@ -286,12 +286,12 @@
     fleet.routers[0].wait_for_events("store_lost", 1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(2_200)).await;
     for service in &fleet.archives {
-        fleet.unlist(&service.id);
+        fleet.remove_entry(&service.id);
     }
     fleet.store.set_mode(Mode::Serving);
     fleet.routers[0].wait_for_events("upstream_missing", 2).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "missing").await, 200);
-    fleet.list(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
+    fleet.put_entry(&fleet.archives[0], ARCHIVE_SERVICE, "ready");
     // The entry of the other replica does not return.
     fleet.routers[0].wait_for_events("upstream_gone", 1).await.unwrap();
     assert_eq!(status(&fleet.routers[0], "/read/a", "after").await, 200);
@@ -307,7 +307,7 @@
     proxy.cut();
     proxy.set_frozen(false);
     router.wait_for_events("store_regained", 1).await.unwrap();
-    fleet.unlist("service-1");
+    fleet.remove_entry("service-1");
     router.wait_for_events("upstream_gone", 1).await.unwrap();
     assert!(router.events("upstream_missing").is_empty());
 }
--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -59,10 +59,10 @@
         let mut fleet = Self { store, engines, archives, routers: Vec::new(), configuration };
         fleet.publish_configuration();
         for upstream in &fleet.engines {
-            fleet.list(upstream, CHAT_SERVICE, "ready");
+            fleet.put_entry(upstream, CHAT_SERVICE, "ready");
         }
         for upstream in &fleet.archives {
-            fleet.list(upstream, ARCHIVE_SERVICE, "ready");
+            fleet.put_entry(upstream, ARCHIVE_SERVICE, "ready");
         }
         for number in 0..router_count {
             let seeds: Vec<_> = fleet.routers.iter().map(Router::peers_address).collect();
@@ -85,18 +85,24 @@
     }
 
     /// Writes the entry of a replica to the store, with the address on which it listens.
-    pub fn list(&self, upstream: &Upstream, service: &str, state: &str) {
-        self.list_at(upstream, upstream.address(), service, state);
+    pub fn put_entry(&self, upstream: &Upstream, service: &str, state: &str) {
+        self.put_entry_at(upstream, upstream.address(), service, state);
     }
 
     /// Writes the entry of a replica to the store, with another address, such as that of a proxy.
-    pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, service: &str, state: &str) {
+    pub fn put_entry_at(
+        &self,
+        upstream: &Upstream,
+        address: SocketAddr,
+        service: &str,
+        state: &str,
+    ) {
         let entry = upstream_entry(upstream, address, service, state);
         self.store.put_json(&format!("servers/{}", upstream.id), &entry);
     }
 
     /// Removes the entry of a replica from the store.
-    pub fn unlist(&self, id: &str) {
+    pub fn remove_entry(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 }
--- a/teaselworks_standin/src/soak/faults.rs
+++ b/teaselworks_standin/src/soak/faults.rs
@@ -302,7 +302,7 @@
             let service = fleet.replicas[number].service;
             fleet.add_replica(service)?;
             let replica = &fleet.replicas[number];
-            fleet.list(replica, "draining");
+            fleet.put_entry(replica, "draining");
             // To simulate the bug, the record says that draining began earlier than it did.
             let is_falsified = recorder.simulated_bug == Some(Bug::RequestsAfterDrain);
             let backdating = if is_falsified { 2 * DRAINING_BOUND } else { Duration::ZERO };
@@ -352,11 +352,11 @@
             // The new replica, the last of the list, takes the index of the removed one, so that
             // the indexes of all other replicas stay.
             let removed = fleet.replicas.swap_remove(number);
-            fleet.unlist(&removed.upstream.id);
+            fleet.remove_entry(&removed.upstream.id);
         }
         Fault::DisruptStore(_) => fleet.store.set_mode(Mode::Serving),
         Fault::CorruptEntry(replica) | Fault::RestartReplica(replica) => {
-            fleet.list(&fleet.replicas[replica], "ready");
+            fleet.put_entry(&fleet.replicas[replica], "ready");
         }
         Fault::DegradeReplica(replica, _) => fleet.replicas[replica].set_mode(ReplicaMode::Healthy),
         Fault::FreezeLink(link, ..) | Fault::DelayLink(link, _) | Fault::RefuseConnects(link) => {
--- a/teaselworks_standin/src/soak/fleet.rs
+++ b/teaselworks_standin/src/soak/fleet.rs
@@ -233,20 +233,20 @@
         self.started_replicas += 1;
         let id = format!("{service}-{}", self.started_replicas);
         let replica = Replica::start(&id, service, &self.recorder)?;
-        self.list(&replica, "ready");
+        self.put_entry(&replica, "ready");
         self.replicas.push(replica);
         Ok(())
     }
 
     /// Writes a replica's entry to the store.
-    pub(super) fn list(&self, replica: &Replica, state: &str) {
+    pub(super) fn put_entry(&self, replica: &Replica, state: &str) {
         let entry =
             upstream_entry(&replica.upstream, replica.proxy.address(), replica.service, state);
         self.store.put_json(&format!("servers/{}", replica.upstream.id), &entry);
     }
 
     /// Removes a replica's entry from the store.
-    pub(super) fn unlist(&self, id: &str) {
+    pub(super) fn remove_entry(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 
@@ -259,7 +259,7 @@
             replica.proxy.set_faults(|faults| *faults = ProxyFaults::default());
             replica.proxy.cut();
             replica.set_mode(ReplicaMode::Healthy);
-            self.list(replica, "ready");
+            self.put_entry(replica, "ready");
         }
         for router in &mut self.routers {
             router.store_proxy.set_faults(|faults| *faults = ProxyFaults::default());
