--- a/teaselworks_policy/src/retry/decision.rs
+++ b/teaselworks_policy/src/retry/decision.rs
@@ -4,8 +4,8 @@
 
 use crate::verdict::{Refusal, RefusalReason, Verdict};
 
-/// Maximum number of upstreams that one request is sent to, even if none of them executed it. More
-/// attempts would only add to the load that made them turn it away.
+/// Maximum number of upstreams tried for one request, even if none of them executed it. More
+/// attempts would only add to the load that made them reject it.
 const MAX_TRIED_UPSTREAMS: u32 = 4;
 /// Minimum time left for another attempt; with less, an answer is too unlikely to justify the load.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(20);
@@ -13,21 +13,24 @@
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection to the upstream could be opened.
+    /// No connection to the upstream could be opened, or the deadline passed before the request was
+    /// sent.
     Unreachable,
-    /// The reused connection was closed before any byte of the request was written.
+    /// A new connection was closed before any byte of the request was written.
     NotSent,
     /// The upstream answered that it did not execute the request.
     Rejected,
-    /// Another upstream has taken over the address, and answered so.
+    /// Another upstream now has the address, and answered that the request was not meant for it.
     Moved,
-    /// The connection broke before the answer was complete.
+    /// After the request was sent, the connection broke before the answer was complete, or the
+    /// deadline passed before the head of the answer arrived.
     Broken,
     /// The data received was not the answer to this request.
     Foreign,
     /// The upstream answered with an error, which counts as executed.
     Failed,
-    /// No data arrived within the route's silence timeout.
+    /// No data arrived within the route's silence timeout, and the attempt was abandoned for
+    /// another one.
     Silent,
 }
 
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Returns whether the request may have been executed in the failed attempt.
+    /// Returns the verdict on the failed attempt alone: whether the request may have been executed
+    /// in it.
     ///
     /// ```
     /// use teaselworks_policy::retry::Failure;
@@ -83,8 +87,8 @@
         }
     }
 
-    /// Returns whether the request was sent to an upstream, so that another attempt must be taken
-    /// from the retry budget.
+    /// Returns whether the request was sent to an upstream, so that a retry counts against the
+    /// retry budget.
     pub fn was_sent(self) -> bool {
         !matches!(self, Failure::Unreachable | Failure::NotSent)
     }
@@ -120,16 +124,17 @@
     }
 }
 
-/// Attempts of a request so far, and what it still allows, when an attempt has failed.
+/// The attempts of a request after one has failed, and the limits on further ones.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AttemptHistory {
-    /// The request may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub is_idempotent: bool,
-    /// Number of upstreams that the request was sent to so far.
+    /// Number of upstreams tried so far, including those to which the request could not be sent;
+    /// `u32::MAX` if the body is not buffered and cannot be sent again.
     pub tried_count: u32,
-    /// Number of upstreams that may have executed the request so far.
+    /// Number of attempts so far in which the request was possibly executed.
     pub runs: u32,
-    /// Maximum number of upstreams that may execute the request.
+    /// Limit on `runs`: with this many, the request is not retried.
     pub max_runs: u32,
     /// Time left until the request's deadline.
     pub remaining: Duration,
@@ -142,7 +147,7 @@
     Retry {
         /// Why the request is retried.
         reason: RetryReason,
-        /// The retry must be taken from the retry budget.
+        /// Whether the retry counts against the retry budget.
         is_budgeted: bool,
     },
     /// Answer the caller with this refusal.
--- a/teaselworks_policy/src/verdict.rs
+++ b/teaselworks_policy/src/verdict.rs
@@ -10,7 +10,8 @@
     /// Certainly not executed: no byte of the request reached an upstream, or each upstream that it
     /// reached answered that it did not execute it.
     NotRun,
-    /// Possibly executed: the request may have reached an upstream whose answer was lost.
+    /// Possibly executed: the request may have reached an upstream that did not answer that it did
+    /// not execute it.
     MayHaveRun,
 }
 
@@ -57,26 +58,31 @@
     TooLarge,
     /// The body of the request did not arrive in time.
     BodyTimeout,
-    /// No replica of the service is known, or all of them are ejected or were tried already.
+    /// No replica can be chosen: the route names no service, no replica of the service is known, or
+    /// each replica is draining, has an entry that cannot be decoded, or was tried already.
     NoReplica,
-    /// Every replica is full, and none will have a free slot in the time that the request has left.
+    /// The expected wait for a slot at the chosen replica exceeds the share of the target latency
+    /// that a request may wait, or the time left, and no replica with room was found instead.
     Overloaded,
     /// This router has as many requests in progress at the service as its concurrency limit allows.
     Limited,
-    /// Nearly all slots of the service are taken, and the caller is late: it was refused before and
-    /// came back.
+    /// Nearly all slots of the service are taken, and the caller is late: it states less time than
+    /// is usual for the route, so it was probably refused before and is retrying.
     LateCaller,
-    /// No replica could be connected to.
+    /// The last attempt could not connect to its upstream or send it the request, and the request
+    /// may not be sent to another one.
     Unreachable,
-    /// An upstream turned the request away without executing it, and the retry budget of the
+    /// An upstream answered that it did not execute the request, and the retry budget of the
     /// service is spent.
     RetryBudget,
-    /// Replicas turned the request away unexecuted, and it may not be sent to another one.
+    /// An upstream answered that it did not execute the request, and the request may not be sent to
+    /// another one: too many were tried, an earlier one may have executed it, or the body is not
+    /// buffered.
     Rejected,
-    /// The deadline of the request passed.
+    /// The deadline of the request passed, or too little time was left for another attempt.
     Deadline,
-    /// A replica failed, broke off or was silent, or it sent something other than the answer to
-    /// this request.
+    /// An upstream answered with an error, broke off its answer or was silent, or it sent something
+    /// other than the answer to this request.
     UpstreamFailed,
     /// The router is stopping.
     Stopping,
@@ -153,7 +159,7 @@
     pub reason: RefusalReason,
     /// Whether an upstream may have executed it.
     pub verdict: Verdict,
-    /// Time after which the caller should retry; `None` where a retry will not help or is not safe.
+    /// Time after which the caller should retry; `None` if a retry will not help or is not safe.
     pub retry_after: Option<Duration>,
 }
 
@@ -183,8 +189,8 @@
     /// Returns the HTTP status of the answer.
     ///
     /// Callers take 408, 421, 429 and 503 to mean that the request was not executed, and send it
-    /// again. The verdict therefore takes precedence over the reason: a request that may have been
-    /// executed gets 502 or 504.
+    /// again; of these, refusals have 408 and 503. The verdict therefore takes precedence over the
+    /// reason: a request that may have been executed gets 502 or 504.
     ///
     /// ```
     /// use teaselworks_policy::verdict::{Refusal, RefusalReason};
