--- a/teaselworks_policy/src/retry/budget.rs
+++ b/teaselworks_policy/src/retry/budget.rs
@@ -4,25 +4,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Share of the fleet's budget that is used. The rest covers changes in the number of routers that
-/// are noticed late, and requests that are counted in a different window than their retries.
-const USABLE_SHARE: f64 = 0.7;
+/// Fraction of the fleet's budget that the routers may spend. The rest covers changes in the number
+/// of routers that are noticed late, and retries that are still in the window when the requests
+/// that they belong to have left it.
+const BUDGET_SAFETY_FACTOR: f64 = 0.7;
 
 /// Bound on the retries to one service, summed over all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Retries allowed per request of a window.
+    /// Retries allowed per request that arrived within the window.
     pub ratio: f64,
     /// Retries that the whole fleet may make per window in addition, however few requests there
     /// are.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window, which ends now.
     pub window: Duration,
 }
 
-/// Clock readings of the requests and retries to one service in the current window.
+/// Clock readings of the requests and retries to one service within the last
+/// [`BudgetSettings::window`].
 #[derive(Debug, Default)]
-struct Window {
+struct RecentRequests {
     requests: VecDeque<Duration>,
     retries: VecDeque<Duration>,
 }
@@ -30,12 +32,12 @@
 /// This router's share of the retry budget, by service.
 ///
 /// The budget keeps retries from multiplying the load that makes replicas fail. The bound applies
-/// to the sum over all routers; each router therefore uses the ratio of its own requests and an
-/// equal share of the slack.
+/// to the sum over all routers. Each router may therefore make [`BudgetSettings::ratio`] retries
+/// per request of its own, plus an equal share of [`BudgetSettings::slack`].
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
-    by_service: HashMap<Arc<str>, Window>,
+    by_service: HashMap<Arc<str>, RecentRequests>,
 }
 
 impl RetryBudget {
@@ -44,7 +46,7 @@
         Self { settings, by_service: HashMap::new() }
     }
 
-    /// Replaces the bound.
+    /// Replaces the settings; the requests and retries counted so far stay.
     pub fn set_settings(&mut self, settings: BudgetSettings) {
         self.settings = settings;
     }
@@ -52,13 +54,13 @@
     /// Counts a request for a service.
     pub fn on_request(&mut self, now: Duration, service: &Arc<str>) {
         let window_length = self.settings.window;
-        let window = self.by_service.entry(service.clone()).or_default();
-        drop_expired(&mut window.requests, now, window_length);
-        window.requests.push_back(now);
+        let recent = self.by_service.entry(service.clone()).or_default();
+        drop_expired(&mut recent.requests, now, window_length);
+        recent.requests.push_back(now);
     }
 
     /// Takes one retry from this router's share of a service's budget; returns false, and takes
-    /// nothing, where the share is spent. `routers` is the number of routers that share the budget.
+    /// nothing, if the share is spent. `routers` is the number of routers that share the budget.
     ///
     /// ```
     /// use std::time::Duration;
@@ -72,20 +74,22 @@
     /// ```
     pub fn try_take(&mut self, now: Duration, service: &Arc<str>, routers: u32) -> bool {
         let BudgetSettings { ratio, slack, window: window_length } = self.settings;
-        let window = self.by_service.entry(service.clone()).or_default();
-        drop_expired(&mut window.requests, now, window_length);
-        drop_expired(&mut window.retries, now, window_length);
-        let ratio_allowance = ratio * window.requests.len() as f64;
+        let recent = self.by_service.entry(service.clone()).or_default();
+        drop_expired(&mut recent.requests, now, window_length);
+        drop_expired(&mut recent.retries, now, window_length);
+        let ratio_allowance = ratio * recent.requests.len() as f64;
         let slack_allowance = slack / f64::from(routers.max(1));
-        if window.retries.len() as f64 + 1.0 > USABLE_SHARE * (ratio_allowance + slack_allowance) {
+        if recent.retries.len() as f64 + 1.0
+            > BUDGET_SAFETY_FACTOR * (ratio_allowance + slack_allowance)
+        {
             return false;
         }
-        window.retries.push_back(now);
+        recent.retries.push_back(now);
         true
     }
 }
 
-/// Drops the times that are longer ago than the window.
+/// Drops the clock readings that are longer ago than `window_length`.
 fn drop_expired(times: &mut VecDeque<Duration>, now: Duration, window_length: Duration) {
     while times.front().is_some_and(|time| now.saturating_sub(*time) > window_length) {
         times.pop_front();
