--- a/teaselworks_policy/src/durations.rs
+++ b/teaselworks_policy/src/durations.rs
@@ -8,12 +8,12 @@
 
 /// Weight of the latest request in the moving averages.
 const LATEST_WEIGHT: f64 = 0.1;
-/// Number of mean absolute deviations above the mean below which most durations lie.
+/// Most durations are shorter than the mean plus this many mean absolute deviations.
 const TYPICAL_DEVIATIONS: f64 = 2.0;
 /// Factor by which the longest duration decays with each request that is shorter.
 const LONGEST_DECAY: f64 = 0.999;
-/// Multiple of the longest observed duration that is taken as the bound for later requests.
-const LONGEST_MARGIN: f64 = 2.0;
+/// Multiple of the decaying longest duration that is taken as the upper bound for later requests.
+const UPPER_BOUND_FACTOR: f64 = 2.0;
 /// Requests that must have ended before the longest duration is used: one in a hundred may take far
 /// longer than the rest.
 const MIN_REQUESTS: u32 = 100;
@@ -25,7 +25,7 @@
     pub typical: Duration,
     /// Time within which even the longest requests are expected to end; `None` until enough
     /// requests have ended.
-    pub longest: Option<Duration>,
+    pub upper_bound: Option<Duration>,
 }
 
 /// Statistics of one route's request durations.
@@ -33,6 +33,7 @@
 struct DurationStats {
     mean_s: f64,
     deviation_s: f64,
+    /// Longest duration, which decays with each shorter one.
     longest_s: f64,
     request_count: u32,
 }
@@ -59,6 +60,7 @@
     pub fn observe(&mut self, route: &Arc<str>, elapsed: Duration) {
         let elapsed_s = elapsed.as_secs_f64();
         let Some(stats) = self.by_route.get_mut(route) else {
+            // The deviation is not known yet; half the duration stands in for it.
             let deviation_s = elapsed_s / 2.0;
             let first = DurationStats {
                 mean_s: elapsed_s,
@@ -79,10 +81,10 @@
     pub fn duration_estimate(&self, route: &Arc<str>) -> Option<DurationEstimate> {
         let DurationStats { mean_s, deviation_s, longest_s, request_count } =
             self.by_route.get(route)?;
-        let longest = Duration::from_secs_f64(LONGEST_MARGIN * longest_s);
+        let upper_bound = Duration::from_secs_f64(UPPER_BOUND_FACTOR * longest_s);
         Some(DurationEstimate {
             typical: Duration::from_secs_f64(mean_s + TYPICAL_DEVIATIONS * deviation_s),
-            longest: (*request_count >= MIN_REQUESTS).then_some(longest),
+            upper_bound: (*request_count >= MIN_REQUESTS).then_some(upper_bound),
         })
     }
 
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -1,4 +1,4 @@
-//! Phases of a graceful shutdown, and which requests a stopping router still accepts.
+//! Phases of a planned stop, and which requests a stopping router still accepts.
 //!
 //! A request that is accepted during a stop is expected to end before the process exits.
 
@@ -35,9 +35,10 @@
     pub remaining: Duration,
     /// How long requests of its route take; `None` while none has ended.
     pub duration_estimate: Option<DurationEstimate>,
-    /// Maximum retry-after time with which the caller can still be answered in time.
+    /// Longest retry-after time that leaves the caller enough time for the retry to be answered.
     pub max_retry_after: Duration,
-    /// Most other routers are serving, so that a caller that reconnects likely reaches one of them.
+    /// Whether most other routers are serving, so that a caller that reconnects likely reaches one
+    /// of them.
     pub has_serving_peers: bool,
 }
 
@@ -69,10 +70,10 @@
         }
     }
 
-    /// Admits a request that arrives at the time `elapsed` since the stop began if it is expected
-    /// to end before the process exits.
+    /// Admits a request that arrives at the time `since_stop` after the beginning of the stop if it
+    /// is expected to end before the process exits.
     ///
-    /// Refuses it otherwise. The refusal's `retry_after` is zero where most other routers are
+    /// Refuses it otherwise. The refusal's `retry_after` is zero if most other routers are
     /// serving. Otherwise it is a random time between half and all of the time until the process is
     /// killed, or until `max_retry_after` if that is shorter: by then another router is more likely
     /// to be serving.
@@ -86,7 +87,8 @@
     /// let second = Duration::from_secs(1);
     /// let mut random = rand_pcg::Pcg32::seed_from_u64(1);
     /// let plan = StopPlan::new(8 * second);
-    /// let duration_estimate = Some(DurationEstimate { typical: second, longest: Some(second) });
+    /// let duration_estimate =
+    ///     Some(DurationEstimate { typical: second, upper_bound: Some(second) });
     /// let arrival = Arrival {
     ///     remaining: 9 * second,
     ///     duration_estimate,
@@ -98,18 +100,21 @@
     /// ```
     pub fn admit(
         &self,
-        elapsed: Duration,
+        since_stop: Duration,
         arrival: &Arrival,
         random: &mut impl Rng,
     ) -> Result<(), Refusal> {
-        let time_left = self.exit_at.saturating_sub(elapsed);
+        let time_left = self.exit_at.saturating_sub(since_stop);
         // While the load balancer still sends callers here, a request is accepted if a typical one
         // of its route ends in time: the risk of cutting it off is better than a certain refusal.
-        // Later, a request is accepted only if the longest one of its route ends in time.
+        // Later, a request is accepted only if even the longest ones of its route end in time.
+        // While no request of the route has ended, every request is accepted at first. Later, and
+        // as long as too few have ended to know the longest, the request is assumed to take until
+        // its deadline. A request whose deadline is before the exit is always accepted.
         let required_time = match arrival.duration_estimate {
-            Some(estimate) if elapsed < self.accepting_until => estimate.typical,
-            Some(DurationEstimate { longest: Some(longest), .. }) => longest,
-            None if elapsed < self.accepting_until => Duration::ZERO,
+            Some(estimate) if since_stop < self.accepting_until => estimate.typical,
+            Some(DurationEstimate { upper_bound: Some(upper_bound), .. }) => upper_bound,
+            None if since_stop < self.accepting_until => Duration::ZERO,
             Some(_) | None => arrival.remaining,
         };
         if required_time.min(arrival.remaining) <= time_left {
@@ -121,13 +126,13 @@
         Err(Refusal::not_run(RefusalReason::Stopping, Some(retry_after)))
     }
 
-    /// Returns the phase at the time `elapsed` since the stop began, with `in_progress` requests in
-    /// progress.
-    pub fn phase(&self, elapsed: Duration, in_progress: usize) -> Phase {
-        if elapsed < self.accepting_until {
+    /// Returns the phase at the time `since_stop` after the beginning of the stop, with
+    /// `in_progress` requests in progress.
+    pub fn phase(&self, since_stop: Duration, in_progress: usize) -> Phase {
+        if since_stop < self.accepting_until {
             return Phase::Accepting;
         }
-        if elapsed >= self.exit_at || in_progress == 0 {
+        if since_stop >= self.exit_at || in_progress == 0 {
             return Phase::Ended;
         }
         Phase::Finishing
--- a/teaselworks_policy/tests/stop.rs
+++ b/teaselworks_policy/tests/stop.rs
@@ -12,7 +12,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn arrival(time: Duration, has_serving_peers: bool) -> Arrival {
-    let duration_estimate = Some(DurationEstimate { typical: time, longest: Some(time) });
+    let duration_estimate = Some(DurationEstimate { typical: time, upper_bound: Some(time) });
     Arrival {
         remaining: 12 * SECOND,
         duration_estimate,
@@ -54,7 +54,8 @@
 fn late_requests_are_admitted_by_the_longest_duration() {
     let plan = StopPlan::new(8 * SECOND);
     let mut random = Pcg32::seed_from_u64(1);
-    let duration_estimate = Some(DurationEstimate { typical: SECOND, longest: Some(5 * SECOND) });
+    let duration_estimate =
+        Some(DurationEstimate { typical: SECOND, upper_bound: Some(5 * SECOND) });
     let stream = Arrival { duration_estimate, ..arrival(SECOND, false) };
     assert!(plan.admit(SECOND * 29 / 10, &stream, &mut random).is_ok());
     assert!(plan.admit(SECOND * 31 / 10, &stream, &mut random).is_err());
@@ -79,7 +80,7 @@
         let plan = StopPlan::new(grace);
         let [remaining, typical, max_retry_after] =
             [remaining_ms, typical_ms, max_retry_after_ms].map(Duration::from_millis);
-        let estimate = DurationEstimate { typical, longest: Some(typical) };
+        let estimate = DurationEstimate { typical, upper_bound: Some(typical) };
         let arrival = Arrival {
             remaining,
             duration_estimate: Some(estimate),
