--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -6,27 +6,27 @@
 
 use crate::configuration::{Route, Routes};
 
-/// Weight of a deadline above the baseline in the moving baseline of a route. The baseline rises
-/// slowly while no shorter deadline arrives.
+/// Weight of a timeout above the baseline in the moving baseline of a route. The baseline rises
+/// slowly while no shorter timeout arrives.
 const RISE_WEIGHT: f64 = 0.002;
-/// Share of the baseline below which a deadline means that its caller has already spent part of its
+/// Share of the baseline below which a timeout means that its caller has already spent part of its
 /// time waiting.
 const LATE_THRESHOLD: f64 = 0.97;
 
-/// Baseline of the deadlines that callers of each route send: the shortest deadline that is usual
-/// for a first attempt.
+/// Baseline of the timeouts that callers of each route send: the shortest timeout that is usual for
+/// a first attempt.
 ///
 /// A caller sends the time it has left, and callers differ in how long they wait in total. A
-/// deadline that is shorter than any first attempt of the route sends belongs to a late caller: one
-/// that was refused before and came back.
+/// timeout that is clearly shorter than those of first attempts on the route is taken to belong to
+/// a late caller: one that was refused before and is retrying.
 #[derive(Debug, Default)]
 pub struct DeadlineBaselines {
     by_route: HashMap<Arc<str>, Duration>,
 }
 
 impl DeadlineBaselines {
-    /// Records a caller's deadline. Must only be called while no caller is being refused, so that
-    /// the deadline belongs to a first attempt.
+    /// Records a caller's timeout. Must only be called with the timeout of a first attempt, not
+    /// with that of a caller that may have been refused before.
     ///
     /// ```
     /// use std::time::Duration;
@@ -39,20 +39,20 @@
     /// assert!(!deadlines.is_late(&route, Duration::from_secs(3)));
     /// assert!(deadlines.is_late(&route, Duration::from_secs(2)));
     /// ```
-    pub fn observe(&mut self, route: &Route, deadline: Duration) {
+    pub fn observe(&mut self, route: &Route, caller_timeout: Duration) {
         let Some(baseline) = self.by_route.get_mut(&route.name) else {
-            self.by_route.insert(route.name.clone(), deadline);
+            self.by_route.insert(route.name.clone(), caller_timeout);
             return;
         };
-        let rise = deadline.saturating_sub(*baseline).mul_f64(RISE_WEIGHT);
-        *baseline = deadline.min(*baseline + rise);
+        let rise = caller_timeout.saturating_sub(*baseline).mul_f64(RISE_WEIGHT);
+        *baseline = caller_timeout.min(*baseline + rise);
     }
 
-    /// Returns whether the caller is late: the time that it has left shows that it was refused
-    /// before and came back.
-    pub fn is_late(&self, route: &Route, deadline: Duration) -> bool {
+    /// Returns whether the caller is late: its timeout is so much shorter than the baseline that it
+    /// was probably refused before and is retrying.
+    pub fn is_late(&self, route: &Route, caller_timeout: Duration) -> bool {
         let baseline = self.by_route.get(&route.name);
-        baseline.is_some_and(|baseline| deadline < baseline.mul_f64(LATE_THRESHOLD))
+        baseline.is_some_and(|baseline| caller_timeout < baseline.mul_f64(LATE_THRESHOLD))
     }
 
     /// Drops the baselines of routes that are not in `routes`.
@@ -105,8 +105,8 @@
         self.arrived
     }
 
-    /// Returns the maximum retry-after time with which a caller that is refused now can still be
-    /// answered in time.
+    /// Returns the longest retry-after time that leaves a caller that is refused now enough time
+    /// for the retry to be answered.
     ///
     /// That is a third of the time that the caller has left: the retry itself needs the rest.
     pub fn max_retry_after(&self, now: Duration) -> Duration {
--- a/teaselworks_policy/src/fleet.rs
+++ b/teaselworks_policy/src/fleet.rs
@@ -30,13 +30,14 @@
 /// Configurable bounds on load and retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Bound on the load of a replica, as a multiple of the mean load of its service.
+    /// Bound on the load of a replica, as a multiple of the mean load of its service. Placement
+    /// uses only part of what this allows above the mean, and adds a few requests to it.
     pub load_factor: f64,
-    /// Budget for retries, summed over all routers.
+    /// Retry budget of all routers together; each router uses its share of it.
     pub budget: BudgetSettings,
 }
 
-/// State from which one router makes its decisions.
+/// What one router knows about the fleet, and the state from which it makes its decisions.
 #[derive(Debug)]
 pub struct Fleet {
     settings: FleetSettings,
@@ -80,7 +81,7 @@
         self.configuration.clone()
     }
 
-    /// Activates a configuration; returns false, and changes nothing, where the active one has the
+    /// Activates a configuration; returns false, and changes nothing, if the active one has the
     /// same or a higher version.
     ///
     /// Another router or a delayed response of the store may deliver an older configuration.
@@ -98,7 +99,8 @@
         true
     }
 
-    /// Applies a change in the list of upstreams to the pools.
+    /// Applies a change in the list of upstreams to the pools. A replica whose entry is missing
+    /// stays in use until it is gone, and an entry of an earlier start of a replica is ignored.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Serving(upstream) | Change::Restarted(upstream) => self.put_replica(upstream),
@@ -141,13 +143,13 @@
     /// Admits a request at a stopping router if it is expected to end before the process exits, or
     /// refuses it.
     ///
-    /// `elapsed` is the time since the stop began, `remaining` the time left until the request's
-    /// deadline, and `max_retry_after` the maximum retry-after time with which the caller can still
-    /// be answered in time.
+    /// `since_stop` is the time since the stop began, `remaining` the time left until the request's
+    /// deadline, and `max_retry_after` the longest retry-after time that leaves the caller enough
+    /// time for the retry to be answered.
     pub fn admit_while_stopping(
         &mut self,
         plan: &StopPlan,
-        elapsed: Duration,
+        since_stop: Duration,
         route: &Arc<str>,
         remaining: Duration,
         max_retry_after: Duration,
@@ -155,7 +157,7 @@
         let duration_estimate = self.durations.duration_estimate(route);
         let has_serving_peers = self.membership.are_most_peers_listed();
         let arrival = Arrival { remaining, duration_estimate, max_retry_after, has_serving_peers };
-        plan.admit(elapsed, &arrival, &mut self.random)
+        plan.admit(since_stop, &arrival, &mut self.random)
     }
 
     /// Records the time from the arrival of a request to the end of its answer.
@@ -163,27 +165,29 @@
         self.durations.observe(route, elapsed);
     }
 
-    /// Counts a request for a service; returns whether its caller is late: it was refused before
-    /// and came back. `deadline` is the time that the caller states to have left.
+    /// Counts a request for a service. Returns whether its caller is late: it was probably refused
+    /// before and is retrying, because `caller_timeout`, the time for which the caller says it
+    /// waits, is clearly shorter than usual for the route.
     pub fn on_request(
         &mut self,
         now: Duration,
         service: &Arc<str>,
         route: &Route,
-        deadline: Option<Duration>,
+        caller_timeout: Option<Duration>,
     ) -> bool {
         self.budget.on_request(now, service);
-        let Some(deadline) = deadline else { return false };
-        // A refused caller comes back before its deadline. A deadline is therefore known to belong
-        // to a first attempt only if the last refusal is longer ago than the deadline is long.
+        let Some(caller_timeout) = caller_timeout else { return false };
+        // A refused caller retries within its timeout. Only if the last refusal was longer ago than
+        // this caller's timeout is the request certainly a first attempt, whose timeout counts for
+        // the baseline.
         let refused_at = self.pools.get(service).and_then(|pool| pool.schedule.refused_at());
-        if refused_at.is_none_or(|refused_at| now.saturating_sub(refused_at) > deadline) {
-            self.deadlines.observe(route, deadline);
+        if refused_at.is_none_or(|refused_at| now.saturating_sub(refused_at) > caller_timeout) {
+            self.deadlines.observe(route, caller_timeout);
         }
-        self.deadlines.is_late(route, deadline)
+        self.deadlines.is_late(route, caller_timeout)
     }
 
-    /// Takes one retry from the retry budget of a service; returns false where it is spent.
+    /// Takes one retry from the retry budget of a service; returns false if it is spent.
     pub fn try_take_retry(&mut self, now: Duration, service: &Arc<str>) -> bool {
         self.budget.try_take(now, service, self.membership.live_count())
     }
@@ -231,8 +235,9 @@
         }
     }
 
-    /// Returns the load reports and failures of replicas learned since the clock reading `after`,
-    /// to send to other routers; `only_own` leaves out those learned from other routers.
+    /// Returns the load reports and failures of replicas that this router learned of later than the
+    /// clock reading `after`, to send to other routers; `only_own` leaves out those learned from
+    /// other routers.
     pub fn observations_after(
         &self,
         now: Duration,
@@ -263,7 +268,7 @@
         self.pools.values_mut().flat_map(|pool| pool.apply_observations(now, &received)).collect()
     }
 
-    /// Records the end of an attempt that was in progress at a replica for the time `held`; returns
+    /// Records the end of an attempt that was in progress at a replica for the time `took`; returns
     /// whether the replica is ejected because of its `outcome`.
     pub fn on_attempt_end(
         &mut self,
@@ -271,14 +276,14 @@
         service: &str,
         incarnation: &Incarnation,
         outcome: Option<RequestOutcome>,
-        held: Duration,
+        took: Duration,
     ) -> bool {
         self.pools
             .get_mut(service)
-            .is_some_and(|pool| pool.end_request(now, incarnation, outcome, held))
+            .is_some_and(|pool| pool.end_request(now, incarnation, outcome, took))
     }
 
-    /// Reserves a retry time for a caller whose request the replicas turned away; returns the time
+    /// Reserves a retry time for a caller whose request the replicas rejected; returns the time
     /// after which it should retry, at most `max_retry_after`.
     pub fn schedule_retry_after(
         &mut self,
--- a/teaselworks_policy/src/placement/admission.rs
+++ b/teaselworks_policy/src/placement/admission.rs
@@ -16,20 +16,21 @@
 /// Returns the reason to refuse a request whichever replica it would go to, or `None` to admit it.
 ///
 /// While nearly all slots of the service are taken, callers that can still be answered in time have
-/// priority over callers that are already late. A request that has started is always admitted.
+/// priority over late callers, which were probably refused before and are retrying. A request that
+/// has started is always admitted.
 pub(super) fn service_refusal(
     pool: &Pool,
     now: Duration,
-    is_crowded: bool,
+    is_nearly_full: bool,
     request: &PlacementRequest<'_>,
 ) -> Option<RefusalReason> {
     if request.has_started {
         return None;
     }
-    if is_crowded && request.is_late {
+    if is_nearly_full && request.is_late {
         return Some(RefusalReason::LateCaller);
     }
-    pool.is_saturated(now, is_crowded).then_some(RefusalReason::Limited)
+    pool.is_saturated(now, is_nearly_full).then_some(RefusalReason::Limited)
 }
 
 /// Tells whether a request would wait at the replica for longer than it may.
--- a/teaselworks_policy/src/placement/choice.rs
+++ b/teaselworks_policy/src/placement/choice.rs
@@ -1,8 +1,9 @@
 //! Chooses among the replicas of a service.
 //!
 //! A request with a prompt goes to a replica that likely has the shared parts of the prompt cached,
-//! within a bound on the load of that replica. A request without a prompt goes to the replica with
-//! the least load.
+//! within a bound on the load of that replica. The affinity key of the prompt ranks the replicas by
+//! their rendezvous scores; this ranking is called the key's order. A request without a prompt goes
+//! to the replica with the least load per slot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,16 +19,17 @@
 /// Retry-after time for a service without a replica that the request may be sent to: an ejected
 /// replica is tried again after one second, and a new replica is listed within one second.
 const NO_CANDIDATE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Share of the load above the mean that [`PlacementSettings::load_factor`] allows and that this
-/// router uses. The rest is left for the other routers, which place requests by the same load
-/// reports before the replicas report again.
+/// Fraction that this router uses of the load above the mean that
+/// [`PlacementSettings::load_factor`] allows. The rest is left for the other routers, which place
+/// requests by the same load reports before the replicas report again.
 const USED_EXCESS_SHARE: f64 = 0.6;
 /// Number of requests added to the load bound, so that it does not spread a key over several
 /// replicas while the load is small.
 const SPARE_REQUESTS: f64 = 3.0;
-/// Number of replicas without a free slot at which the search of a key's order stops. If the wait
-/// is short, the request then queues at the least loaded of as many first replicas in the order:
-/// any other replica would have to process the prompt again.
+/// Number of replicas without a free slot at which the search of a key's order stops. The request
+/// then queues at the least loaded of the first `MAX_FULL_REPLICAS` replicas in the order, if its
+/// load is within [`QUEUE_BOUND_FACTOR`] times the bound: any other replica would have to process
+/// the prompt again.
 const MAX_FULL_REPLICAS: usize = 2;
 /// Multiple of the load bound up to which a request may queue at one of the first replicas in a
 /// key's order. Many routers act on the same outdated reports; without a limit, all of them would
@@ -40,7 +42,8 @@
 /// Limits on the placement of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Multiple of the mean load of a service that the load of a replica should not exceed.
+    /// Multiple of the mean load of a service that the load of a replica should not exceed, apart
+    /// from a few requests. Placement uses only part of what this allows above the mean.
     pub load_factor: f64,
     /// Number of live routers, including this one.
     pub routers: u32,
@@ -53,16 +56,17 @@
     pub prompt: Option<&'a Prompt>,
     /// Availability zone of this router.
     pub zone: &'a str,
-    /// Identifiers of the upstreams that the request was already sent to.
+    /// Identifiers of the upstreams that were already tried for the request.
     pub tried: &'a [Arc<str>],
     /// Time left until the deadline of the request.
     pub remaining: Duration,
-    /// Maximum retry-after time with which the caller can still be answered in time.
+    /// Longest retry-after time that leaves the caller enough time for the retry to be answered.
     pub max_retry_after: Duration,
     /// Whether the answer has begun or an earlier attempt may have run. Such a request is placed
-    /// even where new requests are refused for overload.
+    /// even if new requests are refused for overload.
     pub has_started: bool,
-    /// Whether the caller was refused before and has retried.
+    /// Whether the caller was probably refused before and is retrying: its timeout is clearly
+    /// shorter than usual for the route.
     pub is_late: bool,
 }
 
@@ -108,8 +112,8 @@
 
 /// Chooses a replica for a request.
 ///
-/// Returns a refusal as error if the service has no usable replica that was not tried, if it is
-/// overloaded, or if the request would wait too long for a slot.
+/// Returns a refusal as error if the service has no replica that the request may be sent to, if it
+/// is overloaded, or if the request would wait too long for a slot.
 ///
 /// ```
 /// use std::time::Duration;
@@ -142,7 +146,7 @@
         let retry_after = NO_CANDIDATE_RETRY_AFTER.min(request.max_retry_after);
         return Err(Refusal::not_run(RefusalReason::NoReplica, Some(retry_after)));
     };
-    if let Some(reason) = admission::service_refusal(pool, now, scan.is_crowded(), request) {
+    if let Some(reason) = admission::service_refusal(pool, now, scan.is_nearly_full(), request) {
         return Err(Refusal::not_run(reason, None));
     }
     let mut choice = match key {
@@ -151,9 +155,9 @@
     };
     if admission::exceeds_max_wait(pool, choice.member, now, request, scan.average_load(), settings)
     {
-        let has_room_elsewhere = key.is_some() && !scan.is_crowded();
+        let may_spill_over = key.is_some() && !scan.is_nearly_full();
         let spillover =
-            has_room_elsewhere.then(|| choose_spillover(&scan, now, settings, random)).flatten();
+            may_spill_over.then(|| choose_spillover(&scan, now, settings, random)).flatten();
         choice = spillover.ok_or(Refusal::not_run(RefusalReason::Overloaded, None))?;
     }
     let mut placement = choice.to_placement(now);
@@ -178,11 +182,13 @@
     }
 }
 
-/// Chooses the first replica in the key's order that has a free slot and is within the load bound.
+/// Chooses the first of the ranked replicas, in the key's order, that has a free slot and is within
+/// the load bound.
 ///
-/// If the first replicas in the order are full, the request queues at the least loaded of them as
-/// long as the wait there is short or nearly all slots of the service are taken. Otherwise, the
-/// requests of a hot key spill over to all replicas that have room.
+/// If [`MAX_FULL_REPLICAS`] of them are full, the request queues at the least loaded of the first
+/// ones if its load is within [`QUEUE_BOUND_FACTOR`] times the bound, or if nearly all slots of the
+/// service are taken. Otherwise, the requests of a hot key spill over to all replicas that have
+/// room. If none has, the request goes to that least loaded replica.
 fn choose_by_affinity<'a>(
     scan: &Scan<'a>,
     now: Duration,
@@ -195,8 +201,8 @@
         return choice;
     }
     let load = |member: &Member| member.load.estimate(now, scan.average_load());
-    let least = least_loaded(scan.ranked().take(MAX_FULL_REPLICAS), bound, load);
-    let may_queue = scan.is_crowded() || least.load + 1.0 <= bound * QUEUE_BOUND_FACTOR;
+    let least = choose_least_cost(scan.ranked().take(MAX_FULL_REPLICAS), bound, load);
+    let may_queue = scan.is_nearly_full() || least.load + 1.0 <= bound * QUEUE_BOUND_FACTOR;
     if matches!(search, OrderSearch::Full) && may_queue {
         return least;
     }
@@ -243,7 +249,7 @@
     Found(Choice<'a>),
     /// [`MAX_FULL_REPLICAS`] replicas had no free slot.
     Full,
-    /// The order ended without a replica that has a free slot and is within the load bound.
+    /// None of the replicas searched has a free slot and is within the load bound.
     NotFound,
 }
 
@@ -290,17 +296,17 @@
         let slots = f64::from(member.upstream.slots.max(1));
         (member.load.estimate(now, scan.average_load()) + zone_penalty) / slots
     };
-    least_loaded(order, f64::INFINITY, cost)
+    choose_least_cost(order, f64::INFINITY, cost)
 }
 
 /// Returns the first replica with the lowest cost; the cost becomes the load of the choice.
-fn least_loaded<'a>(
+fn choose_least_cost<'a>(
     order: impl Iterator<Item = &'a Member>,
     bound: f64,
     cost: impl Fn(&Member) -> f64,
 ) -> Choice<'a> {
     let costs = order.map(|member| (cost(member), member));
     let least = costs.reduce(|least, other| if other.0 < least.0 { other } else { least });
-    let (load, member) = least.expect("a scan has at least one replica");
+    let (load, member) = least.expect("a scan has at least one candidate");
     Choice { member, reason: PlacementReason::LeastLoad, load, bound }
 }
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -1,4 +1,9 @@
 //! Collects the load totals of a service's replicas and the first replicas in a key's order.
+//!
+//! A replica is eligible if it takes requests and was not tried for the request, whatever its
+//! health. It is usable if it is neither ejected nor being probed. The candidates are the replicas
+//! that the request may be sent to: those that are eligible and usable, or all eligible ones if too
+//! few of these are usable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,12 +11,14 @@
 use super::{PlacementRequest, rendezvous_score};
 use crate::upstream::{AverageLoad, Member, PeerLoad, Pool};
 
-/// Number of replicas that are kept from the start of a key's order. The search of the order ends
-/// if none of them has room.
+/// Number of candidates that are kept from the start of a key's order. If none of these has room,
+/// the search does not go further down the order.
 const RANKED_REPLICAS: usize = 4;
 
-/// Share of a service's slots in use at which the service counts as crowded.
-const CROWDED_SHARE: f64 = 0.9;
+/// Share of the candidates' slots in use from which the service counts as nearly full. Late callers
+/// are then refused, the concurrency limit applies also to a service that reports its load, and the
+/// requests of a hot key whose first replicas are full queue there instead of spilling over.
+const NEARLY_FULL_SHARE: f64 = 0.9;
 
 /// The `N` members with the highest scores, highest score first.
 struct TopScored<'a, const N: usize> {
@@ -24,7 +31,8 @@
         Self { scores: [0; N], members: [None; N] }
     }
 
-    /// Inserts a member if its score is among the `N` highest. A score of 0 is never inserted.
+    /// Inserts a member if its score is among the `N` highest. A score of 0 stands for a request
+    /// without a key and is never inserted.
     fn add(&mut self, score: u64, member: &'a Member) {
         if score <= self.scores[N - 1] {
             return;
@@ -49,18 +57,18 @@
 pub(super) struct Scan<'a> {
     pool: &'a Pool,
     now: Duration,
-    /// Identifiers of the upstreams that the request was sent to already.
+    /// Identifiers of the upstreams that were already tried for the request.
     tried: &'a [Arc<str>],
     /// Affinity key of the request's prompt.
     key: Option<u64>,
-    /// Whether only usable replicas are candidates, or ejected ones as well.
-    has_only_usable: bool,
+    /// Whether replicas that are ejected or being probed are no candidates.
+    excludes_unusable: bool,
     candidate_count: usize,
     /// Requests at the candidates: all of this router's, and those of other routers as reported,
     /// each multiplied by the weight of its report.
     known_requests: f64,
-    /// Number of candidates without a recent load report. A candidate whose report has a weight
-    /// below 1 counts as the missing fraction.
+    /// Sum, over the candidates, of 1 minus the weight of the load report; a candidate without a
+    /// recent report counts as 1.
     unreported_count: f64,
     /// Total slots of the candidates.
     slots: u32,
@@ -68,15 +76,16 @@
     /// First candidates in the key's order; empty without a key.
     ranked: TopScored<'a, RANKED_REPLICAS>,
     /// First replicas in the key's order from which the cached prompt can be copied. They may be
-    /// draining or already tried, but not ejected, suspended, or without an answer since a restart.
+    /// draining or already tried, but not ejected, being probed, suspended, or without an answer
+    /// since a restart. A second one is kept in case the first is itself chosen.
     holders: TopScored<'a, 2>,
 }
 
 impl<'a> Scan<'a> {
     /// Scans the replicas that the request may be sent to. Returns `None` if there are none.
     ///
-    /// If less than half of the replicas are usable, ejections are ignored: a fault that seems to
-    /// affect that many replicas at once is more likely elsewhere.
+    /// If less than half of the eligible replicas are usable, ejections and probes are ignored: a
+    /// fault that seems to affect that many replicas at once is more likely elsewhere.
     pub(super) fn new(
         pool: &'a Pool,
         now: Duration,
@@ -89,7 +98,7 @@
             now,
             tried: request.tried,
             key,
-            has_only_usable: true,
+            excludes_unusable: true,
             candidate_count: 0,
             known_requests: 0.0,
             unreported_count: 0.0,
@@ -100,7 +109,7 @@
         };
         let eligible_count = scan.scan_pool(routers);
         if scan.candidate_count * 2 < eligible_count {
-            scan.has_only_usable = false;
+            scan.excludes_unusable = false;
             scan.ranked = TopScored::new();
             scan.holders = TopScored::new();
             scan.scan_pool(routers);
@@ -108,8 +117,8 @@
         (scan.candidate_count > 0).then_some(scan)
     }
 
-    /// Collects the totals and the ranking of the candidates. Returns the number of replicas that
-    /// would be candidates if none were ejected.
+    /// Collects the totals and the ranking of the candidates. Returns the number of eligible
+    /// replicas.
     fn scan_pool(&mut self, routers: u32) -> usize {
         let (mut own, mut reported, mut weight_sum) = (0_u32, 0.0, 0.0);
         let (mut eligible_count, mut candidate_count, mut slots) = (0, 0, 0_u32);
@@ -123,7 +132,7 @@
                 continue;
             }
             eligible_count += 1;
-            if self.has_only_usable && !is_usable {
+            if self.excludes_unusable && !is_usable {
                 continue;
             }
             candidate_count += 1;
@@ -152,7 +161,7 @@
 
     fn is_candidate(&self, member: &Member) -> bool {
         is_eligible(member, self.tried)
-            && (!self.has_only_usable || member.health.is_usable(self.now))
+            && (!self.excludes_unusable || member.health.is_usable(self.now))
     }
 
     /// Returns the average load of the candidates, from which the load of a replica without a
@@ -172,8 +181,8 @@
     }
 
     /// Tells whether nearly all slots of the candidates are taken.
-    pub(super) fn is_crowded(&self) -> bool {
-        self.total_requests() >= CROWDED_SHARE * f64::from(self.slots)
+    pub(super) fn is_nearly_full(&self) -> bool {
+        self.total_requests() >= NEARLY_FULL_SHARE * f64::from(self.slots)
     }
 
     /// Returns the number of candidates.
@@ -194,14 +203,16 @@
     /// Returns the replica other than `chosen` that most likely has the prompt cached: the first in
     /// the key's order, even if it drains, or the second if the first was chosen.
     ///
-    /// The second was the first before the chosen replica was added to the service. Copying a
+    /// If the chosen replica is itself the first because it was added to the service recently, the
+    /// second was the first before that, and may still have the prompt cached. Copying a
     /// cached prompt takes less of an engine's time than processing the prompt again.
     pub(super) fn holder(&self, chosen: &Member) -> Option<&'a Member> {
         self.holders.iter().find(|member| member.upstream.id != chosen.upstream.id)
     }
 }
 
-/// Tells whether a replica takes requests and was not tried for this request; ignores its health.
+/// Tells whether a replica takes requests (it is neither draining nor has an entry that cannot be
+/// decoded) and was not tried for this request; ignores its health.
 fn is_eligible(member: &Member, tried: &[Arc<str>]) -> bool {
     let is_available = !member.is_draining && !member.is_suspended;
     is_available && (tried.is_empty() || !tried.contains(&member.upstream.id))
--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-/// Consecutive requests without an answer that eject an upstream. A single one may be due to a lost
-/// packet or to a reused connection that the upstream was closing.
-const FAILURES_TO_EJECT: u32 = 2;
+/// Number of consecutive requests without an answer that ejects an upstream. A single one may be
+/// due to a lost packet or to a reused connection that the upstream was closing.
+const CONSECUTIVE_UNANSWERED_TO_EJECT: u32 = 2;
 /// Duration of the first ejection; it doubles with each further one.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
 /// Maximum duration of an ejection: a recovered upstream is probed within this time.
@@ -19,9 +19,9 @@
 /// How a request to an upstream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// The upstream answered the request.
+    /// The upstream answered the request without an error.
     Answered,
-    /// The upstream answered with an error or rejected the request.
+    /// The upstream answered with an error, or that it did not execute the request.
     Error,
     /// No valid answer was received: the upstream could not be reached, closed the connection
     /// early, did not respond, or sent something that is not an answer to the request.
@@ -32,10 +32,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     consecutive_unanswered: u32,
-    /// Ejections since a probe was last answered, or since other routers last ended an ejection.
-    ejections: u32,
+    /// Number of ejections since a probe was last answered without an error, or since `readmit`
+    /// last ended an ejection.
+    ejection_count: u32,
     ejected_until: Option<Duration>,
-    /// Whether the single request that follows an ejection is in progress.
+    /// Whether the probe, the single request that follows an ejection, is in progress. Requests
+    /// that were sent before the ejection are not told apart from the probe: the end of one clears
+    /// this as well.
     is_probing: bool,
     /// Whether failures that other routers reported caused the last ejection.
     is_ejected_by_peers: bool,
@@ -75,12 +78,12 @@
             self.is_ejected_by_peers = false;
             if was_probing {
                 self.failure_rate = mean_failure_rate;
-                self.ejections = 0;
+                self.ejection_count = 0;
             }
             return false;
         }
         let is_outlier = self.failure_rate > mean_failure_rate + EXCESS_FAILURE_RATE;
-        let is_unresponsive = self.consecutive_unanswered >= FAILURES_TO_EJECT;
+        let is_unresponsive = self.consecutive_unanswered >= CONSECUTIVE_UNANSWERED_TO_EJECT;
         let has_failed_probe = was_probing && outcome == RequestOutcome::NoAnswer;
         if !(is_outlier || is_unresponsive || has_failed_probe) || self.is_ejected(now) {
             return false;
@@ -112,22 +115,24 @@
         true
     }
 
-    /// Ends an ejection that failures of other routers caused, because the upstream has responded
-    /// to a router since. Returns false if there was no such ejection.
+    /// Ends an ejection caused by failures that other routers reported, because the upstream has
+    /// responded to a router since. Returns false if there was no such ejection.
     pub fn readmit(&mut self) -> bool {
         if !std::mem::take(&mut self.is_ejected_by_peers) {
             return false;
         }
         self.ejected_until = None;
         self.is_probing = false;
-        self.ejections = 0;
+        self.ejection_count = 0;
         true
     }
 
     fn eject(&mut self, now: Duration) {
-        let time =
-            BASE_EJECTION_TIME.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION_TIME);
-        self.ejections += 1;
+        // The exponent is limited to keep the shift from overflowing.
+        let time = BASE_EJECTION_TIME
+            .saturating_mul(1 << self.ejection_count.min(8))
+            .min(MAX_EJECTION_TIME);
+        self.ejection_count += 1;
         self.ejected_until = Some(now + time);
     }
 
@@ -141,8 +146,9 @@
     }
 
     /// Records that a request ended without telling anything about the health of the upstream, for
-    /// instance because the caller left. If it was a probe, the upstream becomes usable again.
-    pub fn cancel_probe(&mut self) {
+    /// instance because the caller left. If a probe is in progress, it counts as ended, and the
+    /// upstream becomes usable again.
+    pub fn end_without_outcome(&mut self) {
         self.is_probing = false;
     }
 
--- a/teaselworks_policy/src/upstream/load.rs
+++ b/teaselworks_policy/src/upstream/load.rs
@@ -23,15 +23,16 @@
 #[derive(Clone, Copy, Debug)]
 struct StoredReport {
     /// Requests of all routers at the upstream.
-    total: u32,
+    all_requests: u32,
     /// Requests of other routers at the upstream.
     peer_requests: u32,
-    /// When the upstream made the report.
+    /// Clock reading when the upstream made the report, or when this router received it if the
+    /// upstream sent it to this router itself.
     reported_at: Duration,
-    /// When this router received the report.
+    /// Clock reading when this router received the report.
     received_at: Duration,
     /// Whether the upstream sent the report to this router, not to another one that passed it on.
-    is_own: bool,
+    is_direct: bool,
 }
 
 /// Requests of other routers at one upstream, from the latest load report.
@@ -43,7 +44,8 @@
     pub weight: f64,
 }
 
-/// Average load of the replicas of a service, on which estimates rest where reports are missing.
+/// Average load of the replicas of a service, used to estimate the load of a replica without a
+/// recent report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AverageLoad {
     /// Mean number of requests of other routers at one replica.
@@ -59,7 +61,7 @@
     ///
     /// All routers get requests for the same hot keys, so an upstream with more requests of this
     /// router than average likely has more requests of the others, too. Adding one to both numbers
-    /// weakens the effect while there are only a few requests to judge by.
+    /// keeps this correction small while there are only a few requests to judge by.
     fn estimate_peer_requests(&self, own_requests: u32) -> f64 {
         self.peer_requests * (1.0 + f64::from(own_requests)) / (1.0 + self.own_requests)
     }
@@ -85,36 +87,38 @@
 
     /// Records a load report that the upstream sent to this router.
     pub fn on_load_report(&mut self, now: Duration, report: LoadReport) {
-        let total = report.running + report.waiting;
-        let peer_requests = total.saturating_sub(self.own_requests);
+        let all_requests = report.running + report.waiting;
+        let peer_requests = all_requests.saturating_sub(self.own_requests);
         self.latest_report = Some(StoredReport {
-            total,
+            all_requests,
             peer_requests,
             reported_at: now,
             received_at: now,
-            is_own: true,
+            is_direct: true,
         });
     }
 
-    /// Records a load report of `total` requests that another router passed on, `age` after the
-    /// upstream made it. Does nothing if a report that is as new is known.
-    pub fn apply_shared_load(&mut self, now: Duration, total: u32, age: Duration) {
+    /// Records a load report that another router passed on, `age` after the upstream made it;
+    /// `all_requests` is the number of requests in it. Does nothing if a report that is as new is
+    /// known.
+    pub fn apply_shared_load(&mut self, now: Duration, all_requests: u32, age: Duration) {
         let reported_at = now.saturating_sub(age);
         if self.latest_report.is_some_and(|known| known.reported_at >= reported_at) {
             return;
         }
-        let peer_requests = total.saturating_sub(self.own_requests);
+        let peer_requests = all_requests.saturating_sub(self.own_requests);
         self.latest_report = Some(StoredReport {
-            total,
+            all_requests,
             peer_requests,
             reported_at,
             received_at: now,
-            is_own: false,
+            is_direct: false,
         });
     }
 
-    /// Returns the total and the age of the latest report if this router received it later than
-    /// `after`. With `only_own`, leaves out a report that another router passed on.
+    /// Returns the number of requests of all routers in the latest report and the time since the
+    /// upstream made it, if this router received the report later than the clock reading `after`.
+    /// With `only_own`, leaves out a report that another router passed on.
     pub fn report_after(
         &self,
         now: Duration,
@@ -122,8 +126,8 @@
         only_own: bool,
     ) -> Option<(u32, Duration)> {
         let latest_report = self.latest_report?;
-        let is_new = latest_report.received_at > after && (latest_report.is_own || !only_own);
-        is_new.then(|| (latest_report.total, now.saturating_sub(latest_report.reported_at)))
+        let is_new = latest_report.received_at > after && (latest_report.is_direct || !only_own);
+        is_new.then(|| (latest_report.all_requests, now.saturating_sub(latest_report.reported_at)))
     }
 
     /// Returns the number of requests of this router at the upstream.
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -13,17 +13,18 @@
 /// Weight of the latest request in the exponential moving average of request times.
 const LATEST_WEIGHT: f64 = 0.1;
 
-/// Lower bound of the concurrency limit, as requests per slot over all routers together: some
-/// requests beyond those that the replicas process wait for the next free slot.
+/// Lower bound of the concurrency limit, as requests per slot over all routers together. It is
+/// above 1 so that, beyond the requests that the replicas process, some wait for the next free
+/// slot.
 const MIN_REQUESTS_PER_SLOT: f64 = 1.3;
-/// The same bound for a service that does not report its load, where requests are spread less
-/// evenly over the replicas.
-const MIN_REQUESTS_PER_SLOT_UNREPORTED: f64 = 2.0;
+/// The same lower bound for a service whose replicas do not report their load: its requests are
+/// spread less evenly over the replicas.
+const MIN_REQUESTS_PER_SLOT_WITHOUT_REPORTS: f64 = 2.0;
 
-/// One replica of a service.
+/// One replica of a service, as a member of the service's pool.
 #[derive(Debug)]
 pub struct Member {
-    /// The replica, as its entry in the list describes it.
+    /// The replica, as its entry in the list of upstreams describes it.
     pub upstream: Arc<Upstream>,
     /// Hash of the identifier, from which the rendezvous scores are computed.
     pub id_hash: u64,
@@ -38,8 +39,8 @@
     pub mean_request_time: Option<Duration>,
     /// Whether the replica is about to stop and takes no new requests.
     pub is_draining: bool,
-    /// Whether the replica's entry in the list cannot be decoded at the moment, so that it takes no
-    /// new requests.
+    /// Whether the replica's entry in the list of upstreams cannot be decoded at the moment, so
+    /// that it takes no new requests.
     pub is_suspended: bool,
     /// Whether the replica has restarted and answered no request since, so that its prompt cache is
     /// empty.
@@ -128,12 +129,12 @@
         self.target_latency
     }
 
-    /// Returns whether this router has as many requests at the service as are answered in time.
+    /// Returns whether this router has reached its concurrency limit for the service.
     ///
     /// For a service that reports its load, the limit applies only while nearly all slots are taken
-    /// (`is_crowded`).
-    pub fn is_saturated(&self, now: Duration, is_crowded: bool) -> bool {
-        (is_crowded || !self.has_load_reports)
+    /// (`is_nearly_full`).
+    pub fn is_saturated(&self, now: Duration, is_nearly_full: bool) -> bool {
+        (is_nearly_full || !self.has_load_reports)
             && !self.concurrency_limit.allows(self.in_progress(now))
     }
 
@@ -143,7 +144,8 @@
         self.usable(now).map(|member| member.load.own_requests()).sum()
     }
 
-    /// Returns the replicas that are neither ejected nor being probed.
+    /// Returns the replicas that are neither ejected nor being probed, including those that take no
+    /// new requests.
     fn usable(&self, now: Duration) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.health.is_usable(now))
     }
@@ -156,14 +158,15 @@
         let requests_per_slot = if self.has_load_reports {
             MIN_REQUESTS_PER_SLOT
         } else {
-            MIN_REQUESTS_PER_SLOT_UNREPORTED
+            MIN_REQUESTS_PER_SLOT_WITHOUT_REPORTS
         };
         let min_limit = requests_per_slot * f64::from(slots) / f64::from(routers.max(1));
         let in_progress = self.in_progress(now);
         self.concurrency_limit.observe(now, waited, target_latency, in_progress, min_limit);
     }
 
-    /// Sends no new requests to a replica until its entry in the list can be decoded again.
+    /// Sends no new requests to a replica until its entry in the list of upstreams can be
+    /// decoded again.
     pub fn suspend(&mut self, id: &str) {
         if let Some(member) = self.find_mut(id) {
             member.is_suspended = true;
@@ -194,43 +197,44 @@
         member.health.begin_request(now);
     }
 
-    /// Counts the end of a request that was at the replica for the time `held`. Returns whether
-    /// this ejects the replica.
+    /// Counts the end of a request that was in progress at the replica for the time `took`. Returns
+    /// whether this ejects the replica.
     ///
-    /// `outcome` is `None` where the request does not tell anything about the replica's health. The
+    /// `outcome` is `None` if the request does not tell anything about the replica's health. The
     /// end of a request to an earlier incarnation is ignored.
     pub fn end_request(
         &mut self,
         now: Duration,
         incarnation: &Incarnation,
         outcome: Option<RequestOutcome>,
-        held: Duration,
+        took: Duration,
     ) -> bool {
         let mean_failure_rate = self.mean_failure_rate();
         let Some(member) = self.find_incarnation(incarnation) else { return false };
         member.load.end_request();
         match outcome {
             Some(RequestOutcome::Answered | RequestOutcome::Error) => member.reach.on_response(now),
-            Some(RequestOutcome::NoAnswer) => member.reach.on_failed(now, now.saturating_sub(held)),
+            Some(RequestOutcome::NoAnswer) => member.reach.on_failed(now, now.saturating_sub(took)),
             None => {}
         }
         if outcome == Some(RequestOutcome::Answered) {
             member.has_empty_cache = false;
-            let mean = member.mean_request_time.unwrap_or(held).as_secs_f64();
-            let mean = mean + LATEST_WEIGHT * (held.as_secs_f64() - mean);
+            let mean = member.mean_request_time.unwrap_or(took).as_secs_f64();
+            let mean = mean + LATEST_WEIGHT * (took.as_secs_f64() - mean);
             member.mean_request_time = Some(Duration::from_secs_f64(mean));
         }
         match outcome {
             Some(outcome) => member.health.observe(now, outcome, mean_failure_rate),
             None => {
-                member.health.cancel_probe();
+                member.health.end_without_outcome();
                 false
             }
         }
     }
 
-    /// Returns the observations of the replicas that this router made or received later than
-    /// `after`. With `only_own`, leaves out those that it received from other routers.
+    /// Returns the observations of the replicas that this router made or received later than the
+    /// clock reading `after`. With `only_own`, leaves out those that it received from other
+    /// routers.
     pub fn observations_after(
         &self,
         now: Duration,
--- a/teaselworks_policy/src/upstream/reach.rs
+++ b/teaselworks_policy/src/upstream/reach.rs
@@ -77,9 +77,9 @@
         self.failures.is_empty()
     }
 
-    /// Returns the number of failures that this router learnt of later than `after`, and the time
-    /// since the first of these requests was sent. With `only_own`, leaves out failures of other
-    /// routers.
+    /// Returns the number of failures that this router learnt of later than the clock reading
+    /// `after`, and the time since the first of these requests was sent. With `only_own`, leaves
+    /// out failures of other routers.
     pub fn failures_after(
         &self,
         now: Duration,
--- a/teaselworks_policy/src/upstream/registry.rs
+++ b/teaselworks_policy/src/upstream/registry.rs
@@ -165,8 +165,8 @@
         Some(Change::Suspended(entry.upstream.id.clone()))
     }
 
-    /// Removes an entry. In the re-registration period after an outage, marks it as missing instead.
-    /// Returns `None` if the upstream is unknown or was missing before.
+    /// Removes an entry. In the re-registration period after an outage, marks it as missing
+    /// instead. Returns `None` if the upstream is unknown or was missing before.
     pub fn remove(&mut self, now: Duration, id: &str) -> Option<Change> {
         let entry = self.entries.get_mut(id)?;
         if entry.missing_until.is_some() {
--- a/teaselworks_policy/tests/health.rs
+++ b/teaselworks_policy/tests/health.rs
@@ -37,7 +37,7 @@
     let mut health = Health::default();
     observe_unanswered(&mut health, SECOND, 2);
     health.begin_request(2 * SECOND);
-    health.cancel_probe();
+    health.end_without_outcome();
     assert!(health.is_usable(2 * SECOND));
 }
 
