--- a/teaselworks_policy/tests/observations.rs
+++ b/teaselworks_policy/tests/observations.rs
@@ -11,7 +11,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn fleet(upstreams: &[Upstream]) -> Fleet {
+/// Returns a router to which the given replicas are listed.
+fn new_router(upstreams: &[Upstream]) -> Fleet {
     let budget = BudgetSettings { ratio: 0.2, slack: 10.0, window: 10 * SECOND };
     let membership = Membership::new("router".into(), Vec::new());
     let mut fleet = Fleet::new(FleetSettings { load_factor: 2.0, budget }, membership, 1);
@@ -42,56 +43,56 @@
 /// Guards against a router that estimates loads without the reports that other routers received:
 /// the router that reads the store for it passes them on.
 #[test]
-fn a_load_report_reaches_routers_through_a_reader() {
+fn a_load_report_reaches_routers_through_the_store_reader() {
     let upstream = Upstream::example("i-1", "service");
-    let (mut near, mut reader, mut far) = (
-        fleet(std::slice::from_ref(&upstream)),
-        fleet(std::slice::from_ref(&upstream)),
-        fleet(std::slice::from_ref(&upstream)),
+    let (mut receiver, mut store_reader, mut other) = (
+        new_router(std::slice::from_ref(&upstream)),
+        new_router(std::slice::from_ref(&upstream)),
+        new_router(std::slice::from_ref(&upstream)),
     );
     let report = LoadReport { running: 7, waiting: 1 };
-    near.on_load_report(SECOND, "service", &upstream.incarnation(), report);
-    reader.apply_observations(
+    receiver.on_load_report(SECOND, "service", &upstream.incarnation(), report);
+    store_reader.apply_observations(
         SECOND * 3 / 2,
-        &near.observations_after(SECOND * 3 / 2, Duration::ZERO, true),
+        &receiver.observations_after(SECOND * 3 / 2, Duration::ZERO, true),
     );
     assert!(
-        reader.observations_after(2 * SECOND, Duration::ZERO, true).is_empty(),
+        store_reader.observations_after(2 * SECOND, Duration::ZERO, true).is_empty(),
         "the report was received by another router"
     );
-    far.apply_observations(
+    other.apply_observations(
         2 * SECOND,
-        &reader.observations_after(2 * SECOND, Duration::ZERO, false),
+        &store_reader.observations_after(2 * SECOND, Duration::ZERO, false),
     );
-    assert_eq!(known_report_age(&far, 2 * SECOND), Some(SECOND));
+    assert_eq!(known_report_age(&other, 2 * SECOND), Some(SECOND));
     assert!(
-        reader.observations_after(3 * SECOND, 2 * SECOND, false).is_empty(),
+        store_reader.observations_after(3 * SECOND, 2 * SECOND, false).is_empty(),
         "the report was shared before"
     );
 }
 
-/// Guards against applying a load report of an earlier start of a replica to a later start: a
+/// Guards against applying a load report of an earlier incarnation of a replica to a later one: a
 /// router that has not seen the restart yet still shares the report.
 #[test]
-fn a_load_report_of_an_earlier_start_is_ignored() {
+fn a_load_report_of_an_earlier_incarnation_is_ignored() {
     let before = Upstream::example("i-1", "service");
     let started = Some(SystemTime::UNIX_EPOCH + SECOND);
     let after = Upstream { started, ..before.clone() };
-    let mut slow = fleet(std::slice::from_ref(&before));
-    let mut current = fleet(&[before.clone(), after]);
+    let mut outdated = new_router(std::slice::from_ref(&before));
+    let mut current = new_router(&[before.clone(), after]);
     let report = LoadReport { running: 7, waiting: 1 };
-    slow.on_load_report(SECOND, "service", &before.incarnation(), report);
-    current.apply_observations(SECOND, &slow.observations_after(SECOND, Duration::ZERO, true));
+    outdated.on_load_report(SECOND, "service", &before.incarnation(), report);
+    current.apply_observations(SECOND, &outdated.observations_after(SECOND, Duration::ZERO, true));
     assert_eq!(known_report_age(&current, SECOND), None);
 }
 
 fn fail_requests(fleet: &mut Fleet, now: Duration, times: u32) {
-    let upstream = Upstream::example("i-1", "service").incarnation();
+    let incarnation = Upstream::example("i-1", "service").incarnation();
     for _ in 0..times {
         fleet.on_attempt_end(
             now,
             "service",
-            &upstream,
+            &incarnation,
             Some(RequestOutcome::NoAnswer),
             SECOND / 10,
         );
@@ -113,15 +114,15 @@
 #[test]
 fn failures_at_two_routers_eject_a_replica_at_a_third_until_it_answers() {
     let upstream = Upstream::example("i-1", "service");
-    let fleets = || fleet(std::slice::from_ref(&upstream));
-    let (mut first, mut second, mut third) = (fleets(), fleets(), fleets());
+    let router = || new_router(std::slice::from_ref(&upstream));
+    let (mut first, mut second, mut third) = (router(), router(), router());
     let now = 5 * SECOND;
     fail_requests(&mut first, now, 2);
     fail_requests(&mut second, now, 2);
     assert_eq!(
         share_observations(&first, &mut third, now, SECOND),
         0,
-        "one router may be cut off from the replica"
+        "the failures of one router alone must not eject a replica: it may be cut off"
     );
     assert_eq!(share_observations(&second, &mut third, now, SECOND), 1);
     assert!(!is_usable(&third, now));
@@ -137,34 +138,36 @@
 }
 
 /// Guards against a router that is cut off from a replica and whose failures eject the replica at
-/// routers that can reach it.
+/// routers that can reach it. Its requests were sent before the replica last responded to another
+/// router.
 #[test]
 fn failures_of_requests_sent_before_the_replica_responded_eject_nothing() {
     let upstream = Upstream::example("i-1", "service");
-    let (mut cut_off, mut near) =
-        (fleet(std::slice::from_ref(&upstream)), fleet(std::slice::from_ref(&upstream)));
+    let (mut cut_off, mut connected) =
+        (new_router(std::slice::from_ref(&upstream)), new_router(std::slice::from_ref(&upstream)));
     let now = 5 * SECOND;
     fail_requests(&mut cut_off, now, 8);
-    near.on_load_report(
+    connected.on_load_report(
         now,
         "service",
         &upstream.incarnation(),
         LoadReport { running: 1, waiting: 0 },
     );
-    assert_eq!(share_observations(&cut_off, &mut near, now, SECOND), 0);
-    assert!(is_usable(&near, now));
+    assert_eq!(share_observations(&cut_off, &mut connected, now, SECOND), 0);
+    assert!(is_usable(&connected, now));
 }
 
 /// Guards against a replica that gets the requests for a hot key from every router and is estimated
 /// to have an average load until it reports.
 #[test]
-fn more_own_requests_than_usual_speak_for_more_of_others() {
+fn more_own_requests_than_average_raise_the_estimate_of_peer_requests() {
     let average_load = AverageLoad { peer_requests: 3.0, own_requests: 0.5, routers: 7 };
     let mut load = Load::default();
     let idle = load.estimate(SECOND, &average_load);
     load.begin_request();
     load.begin_request();
     let busy = load.estimate(SECOND, &average_load);
+    // Busy: two own requests, and more than 1.5 times the mean of the requests of other routers.
     assert!(idle <= 3.0 && busy > 2.0 + 1.5 * 3.0, "{idle}, {busy}");
     load.on_load_report(SECOND, LoadReport { running: 3, waiting: 0 });
     assert_eq!(
--- a/teaselworks_policy/tests/retry_after.rs
+++ b/teaselworks_policy/tests/retry_after.rs
@@ -24,6 +24,8 @@
         schedule.on_placed(SECOND * step / 100);
     }
     let now = 10 * SECOND;
+    // 100 requests were placed per second, of which retries get a tenth: they are scheduled about
+    // 100 ms apart, the last of 20 after about 2 s.
     let retry_after: Vec<Duration> =
         (0..20).map(|_| schedule.next_retry_after(now, 60 * SECOND, &mut random)).collect();
     assert!(retry_after[0] < SECOND / 2, "{retry_after:?}");
@@ -31,21 +33,22 @@
     assert!(retry_after[19] < 3 * SECOND, "{retry_after:?}");
 }
 
-/// Guards against callers with little time left that delay the retries of other callers: a retry
-/// that is scheduled later than the caller can wait for must not take up a place in the schedule.
+/// Guards against delayed retries: a caller that cannot wait until the next free place in the
+/// schedule must not take up that place.
 #[test]
 fn callers_that_cannot_wait_do_not_delay_other_retries() {
     let mut random = Pcg32::seed_from_u64(1);
     let mut schedule = RetryAfterSchedule::default();
-    let schedule_patient = |schedule: &mut RetryAfterSchedule, random: &mut Pcg32| {
+    let schedule_without_limit = |schedule: &mut RetryAfterSchedule, random: &mut Pcg32| {
         schedule.next_retry_after(Duration::ZERO, 3_600 * SECOND, random)
     };
-    let first = schedule_patient(&mut schedule, &mut random);
+    let first = schedule_without_limit(&mut schedule, &mut random);
     for _ in 0..50 {
         let retry_after = schedule.next_retry_after(Duration::ZERO, SECOND, &mut random);
         assert!(retry_after <= SECOND && retry_after >= SECOND * 3 / 4);
     }
-    assert!(schedule_patient(&mut schedule, &mut random) < 3 * first);
+    // The 50 callers in between have not moved the schedule.
+    assert!(schedule_without_limit(&mut schedule, &mut random) < 3 * first);
 }
 
 /// Guards against a refusal without a retry-after time when all slots of a service are taken.
