--- a/teaselworks_policy/src/upstream/health.rs
+++ b/teaselworks_policy/src/upstream/health.rs
@@ -67,8 +67,8 @@
         outcome: RequestOutcome,
         mean_failure_rate: f64,
     ) -> bool {
-        let failed = if outcome == RequestOutcome::Answered { 0.0 } else { 1.0 };
-        self.failure_rate += LATEST_WEIGHT * (failed - self.failure_rate);
+        let latest_rate = if outcome == RequestOutcome::Answered { 0.0 } else { 1.0 };
+        self.failure_rate += LATEST_WEIGHT * (latest_rate - self.failure_rate);
         self.consecutive_unanswered = match outcome {
             RequestOutcome::NoAnswer => self.consecutive_unanswered + 1,
             RequestOutcome::Answered | RequestOutcome::Error => 0,
