--- a/teaselworks_policy/src/configuration/routes.rs
+++ b/teaselworks_policy/src/configuration/routes.rs
@@ -58,7 +58,7 @@
         self.hosts.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns the shortest target latency of the routes to a service; `None` where none of them
+    /// Returns the shortest target latency of the routes to a service; `None` if none of them
     /// has one.
     pub fn shortest_target_latency(&self, service: &str) -> Option<Duration> {
         self.target_latencies.get(service).copied()
--- a/teaselworks_policy/src/deadline.rs
+++ b/teaselworks_policy/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests, and the detection of late callers by their deadlines.
+//! Deadlines of requests, and the detection of late callers by their timeouts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/teaselworks_policy/src/membership.rs
+++ b/teaselworks_policy/src/membership.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether at least half of the other routers that are remembered are still registered;
-    /// false where there is no other router.
+    /// false if there is no other router.
     ///
     /// A router that stops ends its registration at the beginning of the stop.
     ///
@@ -154,7 +154,7 @@
         (STORE_RETRY_PAUSE_PER_ROUTER * self.live_count()).min(longest).max(STORE_RETRY_PAUSE)
     }
 
-    /// Returns the address of the router that reads the store for this one; `None` where this
+    /// Returns the address of the router that reads the store for this one; `None` if this
     /// router reads the store itself.
     ///
     /// All routers rank the fleet by the same hash of the names, so they choose the same readers
--- a/teaselworks_policy/src/placement/scan.rs
+++ b/teaselworks_policy/src/placement/scan.rs
@@ -204,8 +204,8 @@
     /// the key's order, even if it drains, or the second if the first was chosen.
     ///
     /// If the chosen replica is itself the first because it was added to the service recently, the
-    /// second was the first before that, and may still have the prompt cached. Copying a
-    /// cached prompt takes less of an engine's time than processing the prompt again.
+    /// second was the first before that, and may still have the prompt cached. Copying a cached
+    /// prompt takes less of an engine's time than processing the prompt again.
     pub(super) fn holder(&self, chosen: &Member) -> Option<&'a Member> {
         self.holders.iter().find(|member| member.upstream.id != chosen.upstream.id)
     }
--- a/teaselworks_policy/src/stop.rs
+++ b/teaselworks_policy/src/stop.rs
@@ -107,10 +107,10 @@
         let time_left = self.exit_at.saturating_sub(since_stop);
         // While the load balancer still sends callers here, a request is accepted if a typical one
         // of its route ends in time: the risk of cutting it off is better than a certain refusal.
-        // Later, a request is accepted only if even the longest ones of its route end in time.
-        // While no request of the route has ended, every request is accepted at first. Later, and
-        // as long as too few have ended to know the longest, the request is assumed to take until
-        // its deadline. A request whose deadline is before the exit is always accepted.
+        // While no request of the route has ended, it is always accepted. Later, a request is
+        // accepted only if even the longest ones of its route end in time. While too few have ended
+        // to know that, it is assumed to take until its deadline. A request whose deadline is
+        // before the exit is accepted in any case.
         let required_time = match arrival.duration_estimate {
             Some(estimate) if since_stop < self.accepting_until => estimate.typical,
             Some(DurationEstimate { upper_bound: Some(upper_bound), .. }) => upper_bound,
--- a/teaselworks_policy/src/upstream/pool.rs
+++ b/teaselworks_policy/src/upstream/pool.rs
@@ -100,8 +100,8 @@
     /// let mut pool = Pool::default();
     /// pool.put(before.clone());
     /// pool.put(after);
-    /// let late = LoadReport { running: 9, waiting: 0 };
-    /// pool.on_load_report(Duration::ZERO, &before.incarnation(), late);
+    /// let outdated = LoadReport { running: 9, waiting: 0 };
+    /// pool.on_load_report(Duration::ZERO, &before.incarnation(), outdated);
     /// assert_eq!(pool.members()[0].load.report_age(Duration::ZERO), None);
     /// ```
     pub fn put(&mut self, upstream: Upstream) {
--- a/teaselworks_policy/src/verdict.rs
+++ b/teaselworks_policy/src/verdict.rs
@@ -10,8 +10,8 @@
     /// Certainly not executed: no byte of the request reached an upstream, or each upstream that it
     /// reached answered that it did not execute it.
     NotRun,
-    /// Possibly executed: the request may have reached an upstream that did not answer that it did
-    /// not execute it.
+    /// Possibly executed: the request may have reached an upstream, and no answer of that upstream
+    /// says that it did not execute it.
     MayHaveRun,
 }
 
@@ -189,8 +189,8 @@
     /// Returns the HTTP status of the answer.
     ///
     /// Callers take 408, 421, 429 and 503 to mean that the request was not executed, and send it
-    /// again; of these, refusals have 408 and 503. The verdict therefore takes precedence over the
-    /// reason: a request that may have been executed gets 502 or 504.
+    /// again; of these, only 408 and 503 are returned here. The verdict therefore takes precedence
+    /// over the reason: a request that may have been executed gets 502 or 504.
     ///
     /// ```
     /// use teaselworks_policy::verdict::{Refusal, RefusalReason};
--- a/teaselworks_policy/tests/deadline.rs
+++ b/teaselworks_policy/tests/deadline.rs
@@ -1,4 +1,5 @@
-//! Detection of late callers, which were refused before and came back, by the time they have left.
+//! Detection of late callers, which were probably refused before and are retrying, by the time that
+//! they have left.
 
 use std::time::Duration;
 
@@ -11,20 +12,20 @@
 fn callers_with_shorter_total_waits_are_not_late() {
     let route = Route::example(Kind::Stream, "/a/");
     let mut deadlines = DeadlineBaselines::default();
-    let caller_deadline = |number: u64| Duration::from_millis(8_500 + (number * 617) % 1_500);
+    let caller_timeout = |number: u64| Duration::from_millis(8_500 + (number * 617) % 1_500);
     for number in 0..500 {
-        deadlines.observe(&route, caller_deadline(number));
+        deadlines.observe(&route, caller_timeout(number));
     }
     for number in 500..1_000 {
-        assert!(!deadlines.is_late(&route, caller_deadline(number)));
-        assert!(deadlines.is_late(&route, caller_deadline(number).mul_f64(0.7)));
+        assert!(!deadlines.is_late(&route, caller_timeout(number)));
+        assert!(deadlines.is_late(&route, caller_timeout(number).mul_f64(0.7)));
     }
 }
 
-/// Guards against one unusually short deadline that keeps the baseline low for good, so that late
+/// Guards against one unusually short timeout that keeps the baseline low for good, so that late
 /// callers are no longer detected.
 #[test]
-fn baseline_recovers_after_one_short_deadline() {
+fn baseline_recovers_after_one_short_timeout() {
     let route = Route::example(Kind::Stream, "/a/");
     let mut deadlines = DeadlineBaselines::default();
     deadlines.observe(&route, Duration::from_secs(1));
