--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -237,7 +237,7 @@
     /// Identifier of the request that the response belongs to.
     pub id: Option<Box<str>>,
     /// The response carries the signature of an upstream.
-    pub is_signed: bool,
+    pub has_server_stamp: bool,
     /// The upstream did not run the request.
     pub is_not_run: bool,
     /// The address now belongs to an upstream other than the one that the request named.
@@ -260,7 +260,7 @@
     let is_misdirected = status == MISDIRECTED_REQUEST;
     ResponseMetadata {
         id: single_value(headers, &REQUEST_ID).map(Box::from),
-        is_signed: headers.contains_key(&SERVER_STAMP),
+        has_server_stamp: headers.contains_key(&SERVER_STAMP),
         is_not_run: is_misdirected || headers.contains_key(&NOT_EXECUTED),
         is_misdirected,
         is_encoded: headers.contains_key(header::CONTENT_ENCODING),
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -170,11 +170,11 @@
     if facts.is_not_run {
         return Err(if facts.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
-    let is_unverified = !facts.is_signed || facts.is_encoded;
+    let is_unverified = !facts.has_server_stamp || facts.is_encoded;
     if is_unverified && status.is_success() {
         return Err(Failure::Foreign);
     }
-    if !facts.is_signed {
+    if !facts.has_server_stamp {
         return Err(Failure::Failed);
     }
     Ok(())
--- a/teaselworks/tests/headers.rs
+++ b/teaselworks/tests/headers.rs
@@ -43,7 +43,7 @@
     let metadata = parse_response_headers(200, &headers);
     assert_eq!(metadata.load.map(|load| (load.running, load.waiting)), Some((3, 1)));
     assert_eq!(metadata.keep_alive.map(|time| time.as_secs()), Some(4));
-    assert!(!metadata.is_signed && !metadata.is_not_run && !metadata.closes_connection);
+    assert!(!metadata.has_server_stamp && !metadata.is_not_run && !metadata.closes_connection);
     assert!(parse_response_headers(421, &HeaderMap::new()).is_not_run);
 }
 
