--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug)]
 pub struct AddedHeaders<'a> {
     /// Identifier of the only upstream that may run the request.
-    pub upstream: &'a str,
+    pub upstream_id: &'a str,
     /// Time left until the deadline of the request.
     pub remaining: Duration,
     /// Workspace that the caller's API key belongs to.
@@ -195,7 +195,7 @@
         forwarded.append(name.clone(), value.clone());
     }
     forwarded.insert(DEADLINE, HeaderValue::from(added.remaining.as_millis() as u64));
-    insert_if_valid(&mut forwarded, EXPECT_INSTANCE, added.upstream);
+    insert_if_valid(&mut forwarded, EXPECT_INSTANCE, added.upstream_id);
     if let Some(workspace) = added.workspace {
         insert_if_valid(&mut forwarded, TENANT, workspace);
     }
--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -131,7 +131,7 @@
     fn build_request(&self, body: OutgoingBody, size_bytes: Option<u64>) -> Request<OutgoingBody> {
         let prepared = self.prepared;
         let passing = AddedHeaders {
-            upstream: &self.upstream.id,
+            upstream_id: &self.upstream.id,
             remaining: prepared.deadline.remaining(self.shared.now()),
             workspace: prepared.workspace.as_ref().map(|workspace| &*workspace.name),
             priority: prepared.route.has_prompts.then(|| prepared.priority()),
