--- a/teaselworks/src/discovery/registrar.rs
+++ b/teaselworks/src/discovery/registrar.rs
@@ -8,10 +8,12 @@
 use crate::kernel::{Shutdown, ShutdownPhase};
 use crate::platform::{Lease, Store, StoreError, registration_key, registration_value};
 
-/// Time after which the registration of a router that was killed expires. Until then the other
-/// routers still count it, which only makes their shares of the retry budget smaller.
-const LEASE_TIME: Duration = Duration::from_secs(9);
-/// Number of renewals within the time of a lease; the lease survives two failed ones in a row.
+/// Minimum time after which the registration of a router that was killed expires. Until then the
+/// other routers still count it, which makes their shares of the retry budget smaller, and may
+/// still query it for the content of the store.
+const MIN_LEASE_TTL: Duration = Duration::from_secs(9);
+/// Number of renewals within the time of a lease. A failed renewal is repeated after
+/// [`RETRY_PAUSE`], so two may fail in a row before the lease expires.
 const RENEWALS_PER_LEASE: u32 = 3;
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
@@ -21,7 +23,9 @@
     store: Store,
     key: String,
     peer_address: SocketAddr,
-    lease_time: Duration,
+    /// Lease time to request: [`MIN_LEASE_TTL`], or the shortest lease that the store grants if
+    /// that is longer.
+    lease_ttl: Duration,
     shutdown: Shutdown,
 }
 
@@ -35,8 +39,8 @@
         shortest_lease: Duration,
         shutdown: Shutdown,
     ) -> Self {
-        let lease_time = LEASE_TIME.max(shortest_lease);
-        Self { store, key: registration_key(name), peer_address, lease_time, shutdown }
+        let lease_ttl = MIN_LEASE_TTL.max(shortest_lease);
+        Self { store, key: registration_key(name), peer_address, lease_ttl, shutdown }
     }
 
     /// Keeps the router registered until a planned stop begins, and then ends the registration.
@@ -44,8 +48,9 @@
         let mut lease = None;
         while self.shutdown.phase() == ShutdownPhase::Running {
             let pause = match self.renew_or_register(&mut lease).await {
-                Ok(()) => self.lease_time / RENEWALS_PER_LEASE,
+                Ok(()) => self.lease_ttl / RENEWALS_PER_LEASE,
                 Err(error) => {
+                    // After a failed renewal the lease may still be valid, but this is not certain.
                     event::REGISTRATION_LOST.log(&[event::text("cause", &error)]);
                     RETRY_PAUSE
                 }
@@ -62,6 +67,9 @@
     }
 
     /// Renews the lease. Without a lease, or if it has ended, registers the router under a new one.
+    ///
+    /// If the new lease ends before the registration is written, returns `Ok` although the router
+    /// is not registered; the next call requests another lease.
     async fn renew_or_register(&mut self, lease: &mut Option<Lease>) -> Result<(), StoreError> {
         if let Some(current) = *lease {
             if self.store.renew_lease(current).await? {
@@ -69,7 +77,7 @@
             }
             *lease = None;
         }
-        let new_lease = self.store.grant_lease(self.lease_time).await?;
+        let new_lease = self.store.grant_lease(self.lease_ttl).await?;
         let value = registration_value(self.peer_address);
         if self.store.put(&self.key, &value, new_lease).await? {
             *lease = Some(new_lease);
