--- a/teaselworks/src/discovery/cache.rs
+++ b/teaselworks/src/discovery/cache.rs
@@ -11,7 +11,8 @@
 
 use crate::platform::{Item, ItemChange, Snapshot};
 
-/// Number of deletions kept. A router that may have missed an older one gets all items.
+/// Number of deletions kept, so that a querying router can be sent only the changes that it lacks.
+/// A router that may have missed an older deletion gets all items.
 const MAX_DELETIONS: usize = 1_024;
 
 /// Content of the store that is newer than a given revision.
@@ -44,12 +45,13 @@
     }
 }
 
-/// Part of the cache's contents whose changes wake waiting queries.
+/// Revision and readability of the store as this router knows them; a change of either wakes the
+/// queries that wait for an update.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct CacheStatus {
     revision: u64,
     /// Whether this router can currently read the store.
-    is_current: bool,
+    can_read_store: bool,
 }
 
 #[derive(Debug, Default)]
@@ -81,14 +83,14 @@
     }
 
     /// Returns whether this router can currently read the store.
-    pub fn is_current(&self) -> bool {
-        self.status.borrow().is_current
+    pub fn can_read_store(&self) -> bool {
+        self.status.borrow().can_read_store
     }
 
     /// Records whether this router can currently read the store.
-    pub(super) fn set_current(&self, is_current: bool) {
+    pub(super) fn set_can_read_store(&self, can_read_store: bool) {
         self.status.send_if_modified(|status| {
-            std::mem::replace(&mut status.is_current, is_current) != is_current
+            std::mem::replace(&mut status.can_read_store, can_read_store) != can_read_store
         });
     }
 
@@ -97,7 +99,7 @@
     pub async fn wait_for_update(&self, known_revision: u64, timeout: Duration) {
         let mut status = self.status.subscribe();
         let changed =
-            status.wait_for(|status| status.revision > known_revision || !status.is_current);
+            status.wait_for(|status| status.revision > known_revision || !status.can_read_store);
         // The channel cannot close, as `self` owns its sender. A timeout is no error: the caller
         // then responds with what is known.
         let _ = tokio::time::timeout(timeout, changed).await;
--- a/teaselworks/src/discovery/updater.rs
+++ b/teaselworks/src/discovery/updater.rs
@@ -79,7 +79,7 @@
 
     /// Records that this router cannot read the store.
     pub fn on_lost(&self) {
-        self.cache.set_current(false);
+        self.cache.set_can_read_store(false);
         self.registry().on_lost(self.shared.now());
     }
 
@@ -91,7 +91,7 @@
 
     /// Records that this router can read the store, for the first time or again.
     pub fn on_regained(&self) {
-        self.cache.set_current(true);
+        self.cache.set_can_read_store(true);
         self.registry().on_regained(self.shared.now());
     }
 
--- a/teaselworks/src/peers/server.rs
+++ b/teaselworks/src/peers/server.rs
@@ -53,7 +53,7 @@
             PackedObservations::pack(&shared.fleet().observations_after(now, last_sent_at, false));
         last_sent_at = now;
         let response =
-            encode(&PeerResponse { reads_store: cache.is_current(), update, observations })?;
+            encode(&PeerResponse { reads_store: cache.can_read_store(), update, observations })?;
         socket.send(Message::Binary(response)).await.map_err(|_| PeerError::Broken)?;
     }
 }
