--- a/teaselworks/src/discovery/watcher.rs
+++ b/teaselworks/src/discovery/watcher.rs
@@ -12,18 +12,19 @@
 use crate::platform::{Store, StoreError, WatchResult};
 
 /// Share of `max_staleness` for which one watch waits for changes. A watch that receives nothing
-/// because its connection is cut off, and the call to the store after it, must both end within
-/// `max_staleness`.
+/// because its connection is cut off, and the next call to the store, must together take no longer
+/// than `max_staleness`.
 const WATCH_WAIT_SHARE: f64 = 0.5;
-/// Share of `max_staleness` for which a query to the reader waits for changes. It is smaller than
-/// that of a watch because responses also carry loads of upstreams, which lose value with age.
+/// Share of `max_staleness` for which a query to the reader, the router that reads the store for
+/// this one, waits for changes. It is smaller than that of a watch because responses also carry
+/// loads of upstreams, which lose value with age.
 const READER_WAIT_SHARE: f64 = 0.15;
 /// Share of `max_staleness` for which the router pauses after a watch that returned changes.
-/// Changes come in series and each call to the store has a price, so one watch should return many
-/// of them.
-const BATCH_SHARE: f64 = 0.15;
-/// Largest update that a router accepts from its reader, which sends updates to many routers at
-/// once.
+/// Changes come in bursts and every call puts load on the store, so one watch should return many
+/// changes.
+const BATCH_PAUSE_SHARE: f64 = 0.15;
+/// Largest update that a router accepts from its reader. The reader sends updates to many routers
+/// at once, and large ones would use up the network link of its VM.
 const MAX_UPDATE_BYTES: usize = 24 << 10;
 /// Time for which a router reads the store itself after its reader failed.
 const DIRECT_READ_TIME: Duration = Duration::from_secs(5);
@@ -38,7 +39,7 @@
     /// The store answered the last call.
     Answering,
     /// The last call to the store failed.
-    Lost,
+    NotAnswering,
 }
 
 /// Task that keeps the router's state up to date with the store.
@@ -55,9 +56,10 @@
     store_status: StoreStatus,
     /// Client for the router that reads the store for this one.
     reader: Option<PeerClient>,
-    /// Time until which this router reads the store itself.
+    /// Clock reading until which this router reads the store itself, because its reader failed.
     reads_directly_until: Duration,
-    /// When this router last sent its own observations of upstreams to the reader.
+    /// Clock reading at the start of the last query to a reader. The query carried this router's
+    /// own observations of upstreams up to then, which are not sent again if it failed.
     observations_sent_at: Duration,
 }
 
@@ -98,13 +100,14 @@
                 self.watch_changes().await
             };
             match result {
-                Ok(is_complete) => needs_snapshot = !is_complete,
-                Err(error) => self.on_store_failed(&error).await,
+                Ok(has_all_changes) => needs_snapshot = !has_all_changes,
+                Err(error) => self.handle_store_failure(&error).await,
             }
         }
     }
 
-    /// Reads all items and applies them. Returns `true`, as nothing has to be read again.
+    /// Reads all items and applies them. Always returns `true`, like a [`Self::watch_changes`] that
+    /// missed no changes.
     async fn read_snapshot(&mut self) -> Result<bool, StoreError> {
         let snapshot = self.store.snapshot().await?;
         self.on_store_answered();
@@ -115,21 +118,18 @@
     /// Waits for changes at the store and applies them. Returns `false` if the store no longer
     /// holds all changes since the last read, so that all items must be read again.
     async fn watch_changes(&mut self) -> Result<bool, StoreError> {
-        // Unless the store answered the last call, the watch does not wait for changes: that would
-        // only delay its answer, which shows whether the store can be read.
-        let is_unconfirmed = self.store_status != StoreStatus::Answering;
-        let wait = if is_unconfirmed {
-            Duration::ZERO
-        } else {
-            self.max_staleness.mul_f64(WATCH_WAIT_SHARE)
-        };
+        // Unless the store answered the last call, the watch asks for an immediate answer, which
+        // shows whether the store can be read. Waiting for changes would only delay it.
+        let is_probe = self.store_status != StoreStatus::Answering;
+        let wait =
+            if is_probe { Duration::ZERO } else { self.max_staleness.mul_f64(WATCH_WAIT_SHARE) };
         let after = self.updater.revision();
         match self.store.watch(after, wait).await? {
             WatchResult::Changes(changes) => {
                 self.on_store_answered();
                 self.updater.apply_changes(&changes, Source::Store);
                 if !changes.is_empty() {
-                    tokio::time::sleep(self.max_staleness.mul_f64(BATCH_SHARE)).await;
+                    tokio::time::sleep(self.max_staleness.mul_f64(BATCH_PAUSE_SHARE)).await;
                 }
                 Ok(true)
             }
@@ -204,26 +204,30 @@
             return;
         }
         self.updater.on_regained();
-        if before == StoreStatus::Lost {
+        if before == StoreStatus::NotAnswering {
             event::STORE_REGAINED.log(&[event::number("revision", self.updater.revision())]);
         }
     }
 
-    async fn on_store_failed(&mut self, error: &StoreError) {
+    /// Records that a call to the store failed, then queries other routers until the next call to
+    /// the store is due.
+    async fn handle_store_failure(&mut self, error: &StoreError) {
         self.metrics.add_store_call(StoreOutcome::Failed);
-        if std::mem::replace(&mut self.store_status, StoreStatus::Lost) != StoreStatus::Lost {
+        if std::mem::replace(&mut self.store_status, StoreStatus::NotAnswering)
+            != StoreStatus::NotAnswering
+        {
             self.updater.on_lost();
             event::STORE_LOST.log(&[
                 event::text("cause", error),
                 event::number("revision", self.updater.revision()),
             ]);
         }
-        let until = self.updater.now() + self.updater.retry_pause(self.max_staleness);
+        let next_call_at = self.updater.now() + self.updater.retry_pause(self.max_staleness);
         // The pause before the next call to the store grows with the fleet. Other routers are still
         // queried at short intervals, as that puts no load on the store.
         loop {
             self.fallback.query_peers(&self.updater).await;
-            let remaining = until.saturating_sub(self.updater.now());
+            let remaining = next_call_at.saturating_sub(self.updater.now());
             tokio::time::sleep(remaining.min(PEER_QUERY_INTERVAL)).await;
             if remaining <= PEER_QUERY_INTERVAL {
                 return;
