--- a/teaselworks/src/event/logger.rs
+++ b/teaselworks/src/event/logger.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Writes the queued log lines before the process exits; a stalled reader delays this only briefly.
+/// Writes the queued log lines before the process exits. If the reader of standard output has
+/// stalled, gives up after a short time, and the lines are lost.
 pub fn flush() {
     log::logger().flush();
 }
