--- a/teaselworks/src/platform/error.rs
+++ b/teaselworks/src/platform/error.rs
@@ -21,9 +21,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::Connect(kind) => write!(f, "cannot connect to the store: {kind}"),
-            StoreError::Broken => f.write_str("connection failed or response is not HTTP"),
-            StoreError::Timeout => f.write_str("no response before the timeout"),
-            StoreError::Status(status) => write!(f, "unexpected HTTP status {status}"),
+            StoreError::Broken => f.write_str("store connection failed or response is not HTTP"),
+            StoreError::Timeout => f.write_str("no complete response from the store in time"),
+            StoreError::Status(status) => write!(f, "store sent unexpected HTTP status {status}"),
             StoreError::Malformed(problem) => write!(f, "malformed request or response: {problem}"),
         }
     }
--- a/teaselworks/src/platform/store.rs
+++ b/teaselworks/src/platform/store.rs
@@ -21,8 +21,8 @@
 use crate::net;
 
 /// Longest wait for the head of a response, and for each further part of its body. A call that
-/// times out is only repeated, so the timeout leaves time for a slow store, and for a large
-/// response over a slow link.
+/// times out is made again from the start, so the timeout leaves time for a slow store, and for a
+/// large response over a slow link.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time beyond the requested wait after which a watch call times out.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
 /// A lease of the store: keys written under it are deleted when it is not renewed in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Lease {
-    /// Identifier.
+    /// Identifier that the store assigned.
     pub id: u64,
     /// Time from each renewal until the lease expires.
     pub ttl: Duration,
@@ -41,7 +41,7 @@
 pub struct Snapshot {
     /// Revision of the store when the read began; a watch continues from here.
     pub revision: u64,
-    /// Every item.
+    /// The items, one for each key.
     pub items: Vec<Item>,
 }
 
@@ -62,7 +62,7 @@
     Written(Item),
     /// The key was deleted.
     Deleted {
-        /// Key.
+        /// Key that was deleted.
         key: Arc<str>,
         /// Revision of the store that the deletion made.
         revision: u64,
@@ -99,7 +99,8 @@
     deleted: bool,
 }
 
-/// Value as the store returns it; other programs may have written something other than text.
+/// Value as the store returns it: base64 text, or another JSON value that some other program wrote
+/// and that cannot be decoded.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum WireValue {
@@ -158,12 +159,13 @@
     /// Reads all items of the store.
     pub async fn snapshot(&mut self) -> Result<Snapshot, StoreError> {
         let mut snapshot: Option<Snapshot> = None;
-        let mut after = String::new();
+        // Key of the last item received; empty before the first page.
+        let mut last_key = String::new();
         loop {
             let mut path = "/kv-range?prefix=".to_owned();
-            if !after.is_empty() {
+            if !last_key.is_empty() {
                 path.push_str("&after=");
-                path.push_str(&percent_encode(&after));
+                path.push_str(&percent_encode(&last_key));
             }
             let (status, body) = self.call(Method::GET, &path, None, CALL_TIMEOUT).await?;
             if status != StatusCode::OK {
@@ -175,7 +177,7 @@
             let snapshot_so_far =
                 snapshot.get_or_insert(Snapshot { revision: range.at, items: Vec::new() });
             for item in range.items {
-                after = item.key.to_string();
+                last_key = item.key.to_string();
                 snapshot_so_far.items.push(item.into_item());
             }
             if !range.has_more {
@@ -296,7 +298,8 @@
             net::connect(self.address).await.map_err(|error| StoreError::Connect(error.kind()))?;
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| StoreError::Broken)?;
-        // `SendRequest::is_closed` reports the end of this task.
+        // The error is not needed: this task ends when the connection fails, and then
+        // `SendRequest::is_closed` returns true.
         tokio::spawn(async move { connection.await.ok() });
         Ok(sender)
     }
