--- a/teaselworks/src/platform/configuration.rs
+++ b/teaselworks/src/platform/configuration.rs
@@ -36,11 +36,13 @@
     timeout_ms: Duration,
     #[serde(default, deserialize_with = "wire::duration_ms")]
     target_latency_ms: Duration,
+    /// Target for the longest pause between events of a stream.
     #[serde(default, deserialize_with = "wire::duration_ms")]
     target_gap_ms: Duration,
     /// Priority; 0 is the most urgent, a larger number is less urgent.
     #[serde(default, deserialize_with = "wire::saturating_u32")]
     priority: u32,
+    /// Only service of the route, or one more target, of weight 1, beside those in `traffic_split`.
     service: Option<Arc<str>>,
     #[serde(default)]
     traffic_split: Vec<WireTarget>,
@@ -100,7 +102,7 @@
     name: Arc<str>,
     #[serde(default)]
     api_keys: Vec<Box<str>>,
-    /// Priority that replaces the route's.
+    /// Priority that replaces the route's; [`priority_level`] converts it to an integer.
     priority: Option<f64>,
 }
 
@@ -156,9 +158,10 @@
     }
 }
 
-/// Converts a priority; a number outside the range of `u8` becomes the nearest value in it.
+/// Converts a priority to an integer: cuts off a fraction, and replaces a number outside the range
+/// of `u8` by the nearest value in it.
 fn priority_level(priority: f64) -> u8 {
-    // Casting a float to an integer saturates.
+    // Casting a float to an integer truncates and saturates.
     priority as u8
 }
 
--- a/teaselworks/src/platform/headers.rs
+++ b/teaselworks/src/platform/headers.rs
@@ -25,7 +25,8 @@
 /// Address of a replica from which the upstream may copy cached parts of the prompt.
 const KV_FETCH: HeaderName = HeaderName::from_static("kv-fetch");
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Signature by which a response shows that it comes from an upstream.
+/// Header by which a response shows that it comes from an upstream. The router checks only that it
+/// is present, not its value.
 const SERVER_STAMP: HeaderName = HeaderName::from_static("x-server-stamp");
 /// Present if the upstream did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
@@ -46,8 +47,9 @@
     header::UPGRADE,
 ];
 
-/// Headers that only routers may send. They are dropped from a caller's request, where they could
-/// refer to cached prompts of another workspace.
+/// Headers that only routers may send. They are dropped from a caller's request, which could
+/// otherwise name another workspace, upstream or priority, or refer to cached prompts of another
+/// workspace.
 const RESERVED: [HeaderName; 10] = [
     TENANT,
     EXPECT_INSTANCE,
@@ -76,7 +78,7 @@
 
 /// Why the headers of a request are rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HeadError {
+pub enum HeaderError {
     /// The request identifier is missing, empty, repeated or not text.
     RequestId,
     /// The `host` header is missing, repeated, not text, or differs from the authority of the URI.
@@ -92,17 +94,17 @@
 ///
 /// ```
 /// use http::HeaderMap;
-/// use teaselworks::platform::headers::{HeadError, parse_request_headers};
+/// use teaselworks::platform::headers::{HeaderError, parse_request_headers};
 ///
-/// assert_eq!(parse_request_headers(&HeaderMap::new()), Err(HeadError::RequestId));
+/// assert_eq!(parse_request_headers(&HeaderMap::new()), Err(HeaderError::RequestId));
 /// ```
-pub fn parse_request_headers(headers: &HeaderMap) -> Result<RequestMetadata, HeadError> {
+pub fn parse_request_headers(headers: &HeaderMap) -> Result<RequestMetadata, HeaderError> {
     let id = single_value(headers, &REQUEST_ID)
         .filter(|id| !id.is_empty())
-        .ok_or(HeadError::RequestId)?;
+        .ok_or(HeaderError::RequestId)?;
     let deadline = match (headers.contains_key(&DEADLINE), single_value(headers, &DEADLINE)) {
         (false, _) => None,
-        (true, value) => Some(value.and_then(parse_milliseconds).ok_or(HeadError::Deadline)?),
+        (true, value) => Some(value.and_then(parse_milliseconds).ok_or(HeaderError::Deadline)?),
     };
     let api_key = single_value(headers, &header::AUTHORIZATION)
         .and_then(|value| value.strip_prefix("Bearer "))
@@ -115,10 +117,10 @@
 /// Fails if the `host` header is missing, repeated or not text, or differs from the authority of
 /// `uri`: a request with two hosts could take a route other than the one for which its API key is
 /// checked.
-pub fn host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> Result<&'a str, HeadError> {
-    let host = single_value(headers, &header::HOST).ok_or(HeadError::Host)?;
+pub fn host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> Result<&'a str, HeaderError> {
+    let host = single_value(headers, &header::HOST).ok_or(HeaderError::Host)?;
     match uri.authority() {
-        Some(authority) if authority.as_str() != host => Err(HeadError::Host),
+        Some(authority) if authority.as_str() != host => Err(HeaderError::Host),
         _ => Ok(host),
     }
 }
@@ -236,13 +238,15 @@
 pub struct ResponseMetadata {
     /// Identifier of the request that the response belongs to.
     pub id: Option<Box<str>>,
-    /// The response carries the signature of an upstream.
+    /// The response has the `x-server-stamp` header, which shows that it comes from an upstream.
+    /// The value of the header is not checked.
     pub has_server_stamp: bool,
     /// The upstream did not run the request.
     pub is_not_run: bool,
     /// The address now belongs to an upstream other than the one that the request named.
     pub is_misdirected: bool,
-    /// The body has a content encoding, which upstreams never use.
+    /// The body has a content encoding, which upstreams never use. A successful response with one
+    /// therefore counts as not coming from the upstream.
     pub is_encoded: bool,
     /// Load that the upstream reports.
     pub load: Option<LoadReport>,
