--- a/teaselworks/src/experiment/mod.rs
+++ b/teaselworks/src/experiment/mod.rs
@@ -1,4 +1,7 @@
 //! Experiments: recorded loads, simulated in several variants and with several seeds, and compared.
+//!
+//! A [`Load`] here is the whole simulated traffic with the fleet that serves it, not the load of
+//! one upstream.
 
 mod plan;
 mod plot;
@@ -11,7 +14,7 @@
 
 use teaselworks_model::{Load, Outcome, run};
 
-pub use self::plan::{Plan, Variant};
+pub use self::plan::{ExperimentPlan, Variant};
 
 /// Error of an experiment.
 #[derive(Debug)]
@@ -54,7 +57,8 @@
 ///
 /// With a `folder`, also writes the results as CSV and a plot of each load to it.
 ///
-/// Returns an error if a file cannot be read, is invalid or cannot be written.
+/// Returns an error if a file cannot be read or is invalid, or if the table, the CSV file or a plot
+/// cannot be written.
 ///
 /// ```
 /// use std::path::Path;
@@ -67,7 +71,7 @@
     folder: Option<&Path>,
     out: &mut dyn Write,
 ) -> Result<(), ExperimentError> {
-    let plan = Plan::read(file)?;
+    let plan = ExperimentPlan::read(file)?;
     let mut results = Vec::new();
     for (name, load) in plan.loads(file)? {
         for variant in &plan.variants {
--- a/teaselworks/src/experiment/plan.rs
+++ b/teaselworks/src/experiment/plan.rs
@@ -8,10 +8,10 @@
 
 use super::ExperimentError;
 
-/// An experiment, as read from its file: every load is simulated in every variant.
+/// Definition of an experiment, as read from its file: every load is simulated in every variant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Plan {
+pub struct ExperimentPlan {
     /// Files of the loads, relative to the folder of the experiment's file.
     loads: Vec<PathBuf>,
     /// Variants in which each load is simulated.
@@ -38,12 +38,12 @@
     placement: Option<PlacementMode>,
 }
 
-impl Plan {
-    /// Reads an experiment from `file`.
+impl ExperimentPlan {
+    /// Reads the definition of an experiment from `file`.
     pub(super) fn read(file: &Path) -> Result<Self, ExperimentError> {
         let text = read_text(file)?;
         let options = jsonc_parser::ParseOptions::default();
-        jsonc_parser::parse_to_serde_value::<Plan>(&text, &options)
+        jsonc_parser::parse_to_serde_value::<ExperimentPlan>(&text, &options)
             .map_err(|error| ExperimentError::Malformed(file.to_owned(), error.to_string()))
     }
 
