--- a/teaselworks/src/settings/check.rs
+++ b/teaselworks/src/settings/check.rs
@@ -2,35 +2,35 @@
 
 use std::net::SocketAddr;
 
-use super::{BoundSettings, FieldPath, Finding, ListenSettings, Settings};
+use super::{BoundSettings, FieldPath, ListenSettings, Settings, UnlocatedFault};
 
 /// Minimum number of file descriptors for a router to serve requests: its listeners, its connection
 /// to the store, and some connections of callers and to upstreams.
 const MIN_FILE_DESCRIPTORS: u32 = 64;
 
-/// Returns a finding for every invalid value.
-pub(super) fn findings(settings: &Settings) -> Vec<Finding> {
-    let mut findings = Vec::new();
+/// Returns a fault for every invalid value.
+pub(super) fn faults(settings: &Settings) -> Vec<UnlocatedFault> {
+    let mut faults = Vec::new();
     for (field, value) in [("name", &settings.router.name), ("zone", &settings.router.zone)] {
         if value.is_empty() {
-            findings.push(Finding::new(FieldPath::from_keys(&["router", field]), "is empty"));
+            faults.push(UnlocatedFault::new(FieldPath::from_keys(&["router", field]), "is empty"));
         }
     }
-    check_listen(&settings.listen, &mut findings);
-    check_bounds(&settings.bounds, &mut findings);
+    check_listen(&settings.listen, &mut faults);
+    check_bounds(&settings.bounds, &mut faults);
     if settings.limits.file_descriptors < MIN_FILE_DESCRIPTORS {
         let path = FieldPath::from_keys(&["limits", "file_descriptors"]);
-        findings.push(Finding::new(path, format!("is below {MIN_FILE_DESCRIPTORS}")));
+        faults.push(UnlocatedFault::new(path, format!("is below {MIN_FILE_DESCRIPTORS}")));
     }
     if settings.platform.shortest_lease_ms == 0 {
         let path = FieldPath::from_keys(&["platform", "shortest_lease_ms"]);
-        findings.push(Finding::new(path, "is zero"));
+        faults.push(UnlocatedFault::new(path, "is zero"));
     }
-    findings
+    faults
 }
 
 /// Reports listen addresses that occur twice; port 0 stands for any free port and never conflicts.
-fn check_listen(listen: &ListenSettings, findings: &mut Vec<Finding>) {
+fn check_listen(listen: &ListenSettings, faults: &mut Vec<UnlocatedFault>) {
     let path = FieldPath::from_keys(&["listen"]);
     let mut seen: Vec<(&str, SocketAddr)> = Vec::new();
     let peers = listen.peers.map(|address| ("peers", address));
@@ -40,8 +40,9 @@
         let same = seen.iter().find(|(_, other)| *other == address && address.port() != 0);
         if let Some((other, _)) = same {
             let problem = format!("is the address of {other} too");
-            findings.push(
-                Finding::new(path.child_key(field), problem).with_conflict(path.child_key(other)),
+            faults.push(
+                UnlocatedFault::new(path.child_key(field), problem)
+                    .with_conflict(path.child_key(other)),
             );
         }
         seen.push((field, address));
@@ -49,7 +50,7 @@
 }
 
 /// Reports bounds that are out of range or not finite.
-fn check_bounds(bounds: &BoundSettings, findings: &mut Vec<Finding>) {
+fn check_bounds(bounds: &BoundSettings, faults: &mut Vec<UnlocatedFault>) {
     let path = FieldPath::from_keys(&["bounds"]);
     let positive = [
         ("stop_grace_s", bounds.stop_grace_s),
@@ -59,16 +60,16 @@
     ];
     for (field, value) in positive {
         if !(value > 0.0 && value.is_finite()) {
-            findings.push(Finding::new(path.child_key(field), "is not above zero"));
+            faults.push(UnlocatedFault::new(path.child_key(field), "is not above zero"));
         }
     }
     for (field, value) in [("retry_ratio", bounds.retry_ratio), ("retry_slack", bounds.retry_slack)]
     {
         if !(value >= 0.0 && value.is_finite()) {
-            findings.push(Finding::new(path.child_key(field), "is below zero"));
+            faults.push(UnlocatedFault::new(path.child_key(field), "is below zero"));
         }
     }
     if !(bounds.load_factor >= 1.0 && bounds.load_factor.is_finite()) {
-        findings.push(Finding::new(path.child_key("load_factor"), "is below one"));
+        faults.push(UnlocatedFault::new(path.child_key("load_factor"), "is below one"));
     }
 }
--- a/teaselworks/src/settings/document.rs
+++ b/teaselworks/src/settings/document.rs
@@ -5,7 +5,7 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 use serde_json::Value;
 
-use super::fault::{Fault, Faults, FieldPath, Finding, PathSegment};
+use super::fault::{Fault, Faults, FieldPath, PathSegment, UnlocatedFault};
 
 /// A parsed JSON document that may contain comments and trailing commas.
 #[derive(Debug)]
@@ -68,24 +68,24 @@
         self.root.clone().into()
     }
 
-    /// Converts a finding to a fault with file, line and column.
+    /// Adds the file, line and column to a fault.
     ///
     /// The fault of an absent field points to the innermost object or array on its path that
     /// exists.
     ///
     /// ```
     /// use teaselworks::settings::Document;
-    /// use teaselworks::settings::{FieldPath, Finding};
+    /// use teaselworks::settings::{FieldPath, UnlocatedFault};
     ///
     /// let document = Document::parse("a.jsonc", "{\n  \"a\": 1\n}").unwrap();
-    /// let fault = document.locate(Finding::new(FieldPath::from_keys(&["a"]), "is odd"));
+    /// let fault = document.locate(UnlocatedFault::new(FieldPath::from_keys(&["a"]), "is odd"));
     /// assert_eq!(fault.to_string(), "a.jsonc:2:3: a: is odd");
     /// ```
-    pub fn locate(&self, finding: Finding) -> Fault {
-        self.fault_at(self.range_of(&finding.path), &finding.path, finding.problem)
+    pub fn locate(&self, fault: UnlocatedFault) -> Fault {
+        self.fault_at(self.range_of(&fault.path), &fault.path, fault.problem)
     }
 
-    /// Converts findings to faults, sorted by line and column.
+    /// Adds the file, line and column to each fault; sorts the faults by line and column.
     ///
     /// ```
     /// use teaselworks::settings::Document;
@@ -93,9 +93,9 @@
     /// let document = Document::parse("a.jsonc", "{}").unwrap();
     /// assert!(document.locate_all(Vec::new()).0.is_empty());
     /// ```
-    pub fn locate_all(&self, findings: Vec<Finding>) -> Faults {
+    pub fn locate_all(&self, unlocated: Vec<UnlocatedFault>) -> Faults {
         let mut faults: Vec<Fault> =
-            findings.into_iter().map(|finding| self.locate(finding)).collect();
+            unlocated.into_iter().map(|fault| self.locate(fault)).collect();
         faults.sort_by_key(|fault| (fault.line, fault.column));
         Faults(faults)
     }
--- a/teaselworks/src/settings/fault.rs
+++ b/teaselworks/src/settings/fault.rs
@@ -1,10 +1,11 @@
-//! Faults in a settings file, with their position and field.
+//! Faults in a settings document, with their position and field.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Maximum number of faults in one report: an operator does not read more of them at once.
+/// Maximum number of faults that deserialization reports: an operator does not read more of them at
+/// once. The checks of deserialized values may add further ones.
 pub const MAX_FAULTS: usize = 64;
 
 /// One segment of a [`FieldPath`], leading from a JSON value to a direct child.
@@ -77,9 +78,9 @@
 
 impl fmt::Display for FieldPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, segment) in self.segments.iter().enumerate() {
+        for (depth, segment) in self.segments.iter().enumerate() {
             match segment {
-                PathSegment::Key(key) if position == 0 => f.write_str(key)?,
+                PathSegment::Key(key) if depth == 0 => f.write_str(key)?,
                 PathSegment::Key(key) => write!(f, ".{key}")?,
                 PathSegment::Index(index) => write!(f, "[{index}]")?,
             }
@@ -88,11 +89,11 @@
     }
 }
 
-/// A fault in a field whose position in the file is not resolved yet.
+/// A fault in a field of a document whose line and column are not known yet.
 ///
 /// [`Document::locate`](super::Document::locate) converts it to a [`Fault`].
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Finding {
+pub struct UnlocatedFault {
     /// Faulty field.
     pub path: FieldPath,
     /// Other fields that the faulty value conflicts with.
@@ -101,26 +102,26 @@
     pub problem: String,
 }
 
-impl Finding {
-    /// Creates a finding about one field.
+impl UnlocatedFault {
+    /// Creates a fault of one field.
     ///
     /// ```
-    /// use teaselworks::settings::{FieldPath, Finding};
+    /// use teaselworks::settings::{FieldPath, UnlocatedFault};
     ///
-    /// let finding = Finding::new(FieldPath::from_keys(&["seeds"]), "is empty");
-    /// assert!(finding.conflicts.is_empty());
+    /// let fault = UnlocatedFault::new(FieldPath::from_keys(&["seeds"]), "is empty");
+    /// assert!(fault.conflicts.is_empty());
     /// ```
     pub fn new(path: FieldPath, problem: impl Into<String>) -> Self {
         Self { path, conflicts: Vec::new(), problem: problem.into() }
     }
 
-    /// Returns the finding with one more conflicting field.
+    /// Returns the fault with one more conflicting field.
     ///
     /// ```
-    /// use teaselworks::settings::{FieldPath, Finding};
+    /// use teaselworks::settings::{FieldPath, UnlocatedFault};
     ///
-    /// let finding = Finding::new(FieldPath::from_keys(&["a"]), "is above b");
-    /// assert_eq!(finding.with_conflict(FieldPath::from_keys(&["b"])).conflicts.len(), 1);
+    /// let fault = UnlocatedFault::new(FieldPath::from_keys(&["a"]), "is above b");
+    /// assert_eq!(fault.with_conflict(FieldPath::from_keys(&["b"])).conflicts.len(), 1);
     /// ```
     pub fn with_conflict(mut self, other: FieldPath) -> Self {
         self.conflicts.push(other);
@@ -130,10 +131,10 @@
     /// Returns whether the faulty field or a conflicting one is at or below one of `paths`.
     ///
     /// ```
-    /// use teaselworks::settings::{FieldPath, Finding};
+    /// use teaselworks::settings::{FieldPath, UnlocatedFault};
     ///
-    /// let finding = Finding::new(FieldPath::from_keys(&["a", "b"]), "is zero");
-    /// assert!(finding.involves_any(&[FieldPath::from_keys(&["a"])]));
+    /// let fault = UnlocatedFault::new(FieldPath::from_keys(&["a", "b"]), "is zero");
+    /// assert!(fault.involves_any(&[FieldPath::from_keys(&["a"])]));
     /// ```
     pub fn involves_any(&self, paths: &[FieldPath]) -> bool {
         paths.iter().any(|path| {
@@ -143,7 +144,7 @@
     }
 }
 
-/// A problem in one field of a document, with its position.
+/// A fault in a field of a document, with its line and column.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Fault {
     /// File name; empty if the document was not read from a file.
@@ -189,8 +190,8 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, fault) in self.0.iter().enumerate() {
-            if position > 0 {
+        for (number, fault) in self.0.iter().enumerate() {
+            if number > 0 {
                 f.write_str("\n")?;
             }
             fault.fmt(f)?;
--- a/teaselworks/src/settings/load.rs
+++ b/teaselworks/src/settings/load.rs
@@ -50,20 +50,20 @@
         }
         let document = Document::parse(file, text)?;
         let deserialized = typed::from_json::<Settings>(document.value(), &substitutes());
-        let mut findings = deserialized.findings;
+        let mut faults = deserialized.faults;
         let Some(settings) = deserialized.value else {
-            return Err(document.locate_all(findings));
+            return Err(document.locate_all(faults));
         };
-        let substituted: Vec<_> = findings.iter().map(|finding| finding.path.clone()).collect();
-        for finding in check::findings(&settings) {
+        let substituted: Vec<_> = faults.iter().map(|fault| fault.path.clone()).collect();
+        for fault in check::faults(&settings) {
             // The fault of a substituted field is already reported, and a conflict with the
             // substitute is not a fault of the file.
-            if finding.involves_any(&substituted) {
+            if fault.involves_any(&substituted) {
                 continue;
             }
-            findings.push(finding);
+            faults.push(fault);
         }
-        if findings.is_empty() { Ok(settings) } else { Err(document.locate_all(findings)) }
+        if faults.is_empty() { Ok(settings) } else { Err(document.locate_all(faults)) }
     }
 }
 
--- a/teaselworks/src/settings/mod.rs
+++ b/teaselworks/src/settings/mod.rs
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 
 pub use self::document::Document;
-pub use self::fault::{Fault, Faults, FieldPath, Finding, PathSegment};
+pub use self::fault::{Fault, Faults, FieldPath, PathSegment, UnlocatedFault};
 
 /// All settings of a router.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/teaselworks/src/settings/typed.rs
+++ b/teaselworks/src/settings/typed.rs
@@ -1,34 +1,35 @@
-//! Deserializes JSON into a type and reports all of its errors instead of only the first one.
+//! Deserializes JSON into a type and reports all of its faults instead of only the first one.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use serde_path_to_error::Segment;
 
-use super::fault::{FieldPath, Finding, MAX_FAULTS, PathSegment};
+use super::fault::{FieldPath, MAX_FAULTS, PathSegment, UnlocatedFault};
 
-/// Result of a deserialization that continues after errors.
+/// Result of a deserialization that continues after faults.
 #[derive(Debug)]
 pub(crate) struct Deserialized<T> {
-    /// Deserialized value, or none where deserialization could not continue. If there are findings,
-    /// every faulty field holds a substitute.
+    /// Deserialized value; `None` if deserialization could not continue. If there are faults, every
+    /// faulty field holds its substitute, or is absent if it has none.
     pub(crate) value: Option<T>,
-    /// Errors in the JSON value.
-    pub(crate) findings: Vec<Finding>,
+    /// Faults in the JSON value.
+    pub(crate) faults: Vec<UnlocatedFault>,
 }
 
 /// Deserializes `json` as a `T`.
 ///
-/// Serde stops at the first error. To find the others, the faulty field is replaced by the value at
-/// the same path in `substitutes`, or removed if there is none, and `json` is deserialized again.
-/// Gives up after [`MAX_FAULTS`] errors, or when a field fails again after its replacement.
+/// Serde stops at the first fault. To find the others, the faulty field is replaced by the value at
+/// the same path in `substitutes`, or removed if there is none, and `json` is deserialized again. A
+/// missing field is inserted in the same way. Gives up after [`MAX_FAULTS`] faults, or when a field
+/// fails again after its replacement.
 pub(crate) fn from_json<T: DeserializeOwned>(
     mut json: Value,
     substitutes: &Value,
 ) -> Deserialized<T> {
-    let mut findings: Vec<Finding> = Vec::new();
+    let mut faults: Vec<UnlocatedFault> = Vec::new();
     loop {
         let error = match serde_path_to_error::deserialize::<_, T>(&json) {
-            Ok(value) => return Deserialized { value: Some(value), findings },
+            Ok(value) => return Deserialized { value: Some(value), faults },
             Err(error) => error,
         };
         let message = error.inner().to_string();
@@ -37,14 +38,13 @@
         if let Some(name) = missing {
             path = path.child_key(name);
         }
-        let is_reported = findings.iter().any(|finding| finding.path == path);
+        let is_reported = faults.iter().any(|fault| fault.path == path);
         let problem = if missing.is_some() { "is missing".into() } else { message };
         if !is_reported {
-            findings.push(Finding::new(path.clone(), problem));
+            faults.push(UnlocatedFault::new(path.clone(), problem));
         }
-        if is_reported || findings.len() == MAX_FAULTS || !substitute(&mut json, &path, substitutes)
-        {
-            return Deserialized { value: None, findings };
+        if is_reported || faults.len() == MAX_FAULTS || !substitute(&mut json, &path, substitutes) {
+            return Deserialized { value: None, faults };
         }
     }
 }
@@ -67,7 +67,7 @@
     FieldPath { segments }
 }
 
-/// Replaces the field at `path` by its substitute, or removes it from its object if there is none.
+/// Sets the field at `path` to its substitute, or removes it from its object if there is none.
 ///
 /// Returns whether `json` was changed.
 fn substitute(json: &mut Value, path: &FieldPath, substitutes: &Value) -> bool {
