--- a/teaselworks/tests/requests.rs
+++ b/teaselworks/tests/requests.rs
@@ -44,6 +44,7 @@
     let expected =
         fleet.services.iter().find(|service| !service.received_requests().is_empty()).unwrap();
     assert_eq!(req.head.header("x-expect-instance"), Some(expected.id.as_str()));
+    // `request` states a deadline of 6,000 ms.
     let remaining: u64 = req.head.header("x-deadline-ms").unwrap().parse().unwrap();
     assert!(remaining <= 6_000, "{remaining}");
 }
@@ -94,9 +95,11 @@
         (Call::new("GET", HOST, "/read/a", "3"), 401),
         (Call::new("GET", HOST, "/read/a", "4").with_api_key("unknown"), 401),
         (request("POST", "/write/a", "5").with_header("Content-Length", "2097152"), 413),
+        // Duplicates of headers that `request` already sets.
         (request("GET", "/read/a", "6").with_header("X-Request-Id", "7"), 400),
         (request("GET", "/read/a", "8").with_header("Host", "other.example"), 400),
         (request("GET", "/read/a", "9").with_header("X-Deadline-Ms", "7000"), 400),
+        // A deadline that is not a number.
         (
             Call::new("GET", HOST, "/read/a", "10")
                 .with_api_key(API_KEY)
@@ -123,6 +126,7 @@
     let hidden = format!("GET /read/b HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: hidden\r\n\r\n");
     let framings = [
         format!("Content-Length: 0\r\nContent-Length: {}\r\n\r\n{hidden}", hidden.len()),
+        // 5 is the length of the last chunk, `0\r\n\r\n`.
         format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}", 5),
         format!("Transfer-Encoding: xchunked\r\nContent-Length: 3\r\n\r\nabc{hidden}"),
         format!("Content-Length: +3\r\n\r\nabc{hidden}"),
@@ -135,7 +139,7 @@
         );
         connection.write(head.as_bytes()).await.unwrap();
         while let Ok(Some(reply)) = connection.read_reply().await {
-            assert!(reply.status() >= 200, "{number}");
+            assert!(reply.status() >= 200, "{framing}");
         }
     }
     let received: Vec<_> =
@@ -173,6 +177,7 @@
     slow.write(b"GET /read/a HT").await.unwrap();
     let mut idle = Connection::open(address).await.unwrap();
     assert_eq!(idle.call(&request("GET", "/read/a", "1")).await.unwrap().unwrap().status(), 200);
+    // A read that returns no head shows that the router has closed the connection.
     assert!(!matches!(slow.read_head().await, Ok(Some(_))));
     assert!(!matches!(idle.read_head().await, Ok(Some(_))));
 }
@@ -272,7 +277,7 @@
     }
     router.wait_for_events("request_placed", 48).await.unwrap();
     // The event is logged before the request reaches a service. A request that reached its service
-    // after the change of behaviour would be answered and its connection closed, and the late
+    // after the change of behaviour would be answered and its connection closed, and the next
     // caller would not have to wait.
     let received_count =
         || fleet.services.iter().map(|service| service.received_requests().len()).sum::<usize>();
@@ -284,19 +289,20 @@
     for service in &fleet.services {
         service.set_behaviour(|req| Script::response(req, 200, "a verse"));
     }
-    let mut late = Connection::open(router.callers_address()).await.unwrap();
-    late.send(&request("GET", "/read/a", "late")).await.unwrap();
-    let early_reply = tokio::time::timeout(Duration::from_millis(300), late.read_reply()).await;
+    let mut next_caller = Connection::open(router.callers_address()).await.unwrap();
+    next_caller.send(&request("GET", "/read/a", "next")).await.unwrap();
+    let early_reply =
+        tokio::time::timeout(Duration::from_millis(300), next_caller.read_reply()).await;
     assert!(early_reply.is_err(), "{early_reply:?}");
     drop(connections.pop());
-    assert_eq!(late.read_reply().await.unwrap().unwrap().status(), 200);
+    assert_eq!(next_caller.read_reply().await.unwrap().unwrap().status(), 200);
 }
 
-/// Guards against requests that wait to be accepted until their callers have left, because idle
-/// connections use all descriptors for callers. Once more than half of the 48 connections are open,
-/// the router closes each connection after its answer.
+/// Guards against idle connections that use up all file descriptors for callers, so that further
+/// callers are not accepted before they give up. Once more than half of the 48 connections are
+/// open, the router closes each connection after its answer.
 #[tokio::test]
-async fn idle_connections_are_closed_to_accept_other_callers() {
+async fn connections_are_closed_after_an_answer_if_more_than_half_are_open() {
     let mut fleet = fleet(1).await;
     restart_with_few_descriptors(&mut fleet).await;
     let router = &fleet.routers[0];
@@ -334,7 +340,7 @@
 /// Guards against request smuggling through a refused request: the router refuses it before it
 /// reads the body, and could take the body that is still arriving for the next request.
 #[tokio::test]
-async fn the_unread_body_of_a_refused_request_is_not_run() {
+async fn the_unread_body_of_a_refused_request_is_not_taken_for_a_request() {
     let fleet = fleet(1).await;
     let smuggled = request("POST", "/write/a", "smuggled").bytes();
     let head = format!(
