--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -20,7 +20,7 @@
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
-    pub(super) facts: ResponseMetadata,
+    pub(super) metadata: ResponseMetadata,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
 }
@@ -119,11 +119,11 @@
             }
         };
         let (head, body) = answer.into_parts();
-        let facts = headers::parse_response_headers(head.status.as_u16(), &head.headers);
-        connection.set_keep_alive(facts.keep_alive);
-        let checked = check_answer(&facts, head.status, &self.prepared.facts.id);
+        let metadata = headers::parse_response_headers(head.status.as_u16(), &head.headers);
+        connection.set_keep_alive(metadata.keep_alive);
+        let checked = check_answer(&metadata, head.status, &self.prepared.metadata.id);
         let headers = headers::caller_response_headers(&head.headers);
-        let answer = Answer { status: head.status, headers, facts, body, connection };
+        let answer = Answer { status: head.status, headers, metadata, body, connection };
         Ok(checked.map(|()| answer))
     }
 
@@ -155,26 +155,26 @@
 /// An answer can belong to another request: an upstream may send a second answer to an earlier
 /// request on a kept-alive connection.
 fn check_answer(
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
     status: StatusCode,
     request_id: &str,
 ) -> Result<(), Failure> {
-    let is_foreign = match &facts.id {
+    let is_foreign = match &metadata.id {
         Some(id) => **id != *request_id,
         // An upstream that rejects a request may do so before it has read the identifier.
-        None => !facts.is_not_run,
+        None => !metadata.is_not_run,
     };
     if is_foreign {
         return Err(Failure::Foreign);
     }
-    if facts.is_not_run {
-        return Err(if facts.is_misdirected { Failure::Moved } else { Failure::Rejected });
+    if metadata.is_not_run {
+        return Err(if metadata.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
-    let is_unverified = !facts.is_signed || facts.is_encoded;
+    let is_unverified = !metadata.is_signed || metadata.is_encoded;
     if is_unverified && status.is_success() {
         return Err(Failure::Foreign);
     }
-    if !facts.is_signed {
+    if !metadata.is_signed {
         return Err(Failure::Failed);
     }
     Ok(())
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -24,7 +24,7 @@
 
 /// A request whose head passed all checks, with the route and service that it goes to.
 pub(super) struct PreparedRequest {
-    pub(super) facts: RequestMetadata,
+    pub(super) metadata: RequestMetadata,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
@@ -55,14 +55,14 @@
 /// - `NoReplica`: the route sends the request to no service.
 pub(super) fn check(
     head: Parts,
-    facts: RequestMetadata,
+    metadata: RequestMetadata,
     configuration: &Configuration,
     now: Duration,
 ) -> Result<PreparedRequest, RefusalReason> {
     let host = headers::host(&head.headers, &head.uri).map_err(|_| RefusalReason::Malformed)?;
     let path = head.uri.path();
     let route = configuration.routes.find(host, path).ok_or(RefusalReason::UnknownRoute)?.clone();
-    let workspace = match &facts.api_key {
+    let workspace = match &metadata.api_key {
         _ if route.is_anonymous || !configuration.workspaces.is_key_required() => None,
         Some(key) => {
             let workspace = configuration.workspaces.find(key);
@@ -70,8 +70,8 @@
         }
         None => return Err(RefusalReason::Unauthorized),
     };
-    let service = route.service_for(&facts.id).ok_or(RefusalReason::NoReplica)?;
-    let deadline = Deadline::new(now, facts.deadline, route.timeout);
+    let service = route.service_for(&metadata.id).ok_or(RefusalReason::NoReplica)?;
+    let deadline = Deadline::new(now, metadata.deadline, route.timeout);
     let target = head.uri.path_and_query().ok_or(RefusalReason::Malformed)?;
     let target = Bytes::copy_from_slice(target.as_str().as_bytes());
     let target = Uri::from_maybe_shared(target).map_err(|_| RefusalReason::Malformed)?;
@@ -79,7 +79,7 @@
     let method = head.method;
     let is_late = false;
     Ok(PreparedRequest {
-        facts,
+        metadata,
         route,
         service,
         workspace,
--- a/teaselworks/src/relay/request_state.rs
+++ b/teaselworks/src/relay/request_state.rs
@@ -48,7 +48,12 @@
         let now = self.shared.now();
         let deadline = &self.prepared.deadline;
         let request = PlacementRequest {
-            prompt: self.prepared.facts.prompt.as_ref().filter(|_| self.prepared.route.has_prompts),
+            prompt: self
+                .prepared
+                .metadata
+                .prompt
+                .as_ref()
+                .filter(|_| self.prepared.route.has_prompts),
             zone: &self.shared.zone,
             tried: &self.tried,
             remaining: deadline.remaining(now),
@@ -60,7 +65,7 @@
         placement.holder = placement.holder.filter(|_| self.has_kv_transfer());
         let report_age = placement.report_age.map_or(-1, |age| age.as_millis() as i64);
         event::REQUEST_PLACED.log(&[
-            event::text("request", &self.prepared.facts.id),
+            event::text("request", &self.prepared.metadata.id),
             event::text("service", &self.prepared.service),
             event::text("upstream", &placement.upstream.id),
             event::text("reason", &placement.reason.as_str()),
@@ -156,7 +161,7 @@
         drop(fleet);
         self.shared.metrics.add_retry(reason);
         event::ATTEMPT_RETRIED.log(&[
-            event::text("request", &self.prepared.facts.id),
+            event::text("request", &self.prepared.metadata.id),
             event::text("reason", &reason.as_str()),
             event::number("attempt", self.attempts().into()),
             event::text("upstream", &self.tried.last().map_or("", |id| id)),
@@ -181,7 +186,7 @@
     /// Logs a failed attempt that is not retried.
     fn log_failure(&self, failure: Failure, refusal: &Refusal) {
         event::ATTEMPT_FAILED.log(&[
-            event::text("request", &self.prepared.facts.id),
+            event::text("request", &self.prepared.metadata.id),
             event::text("upstream", &self.tried.last().map_or("", |id| id)),
             event::text("failure", &failure.as_str()),
             event::text("verdict", &failure.verdict()),
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -39,21 +39,21 @@
     activity: &Activity,
 ) -> Response<OutgoingBody> {
     let (head, incoming) = request.into_parts();
-    let facts = match headers::parse_request_headers(&head.headers) {
-        Ok(facts) => facts,
+    let metadata = match headers::parse_request_headers(&head.headers) {
+        Ok(metadata) => metadata,
         Err(_) => {
             let progress = RequestProgress::begin(shared, "".into());
             return refuse(progress, None, &not_run_refusal(RefusalReason::Malformed), 0, None);
         }
     };
-    let id = facts.id.clone();
+    let id = metadata.id.clone();
     let mut progress = RequestProgress::begin(shared.clone(), id.clone());
     let Some(configuration) = shared.configuration().await else {
         let refusal = Refusal::not_run(RefusalReason::NoConfiguration, Some(STARTUP_RETRY_AFTER));
         return refuse(progress, Some(&id), &refusal, 0, None);
     };
     let version = Some(configuration.version);
-    let mut prepared = match request::check(head, facts, &configuration, shared.now()) {
+    let mut prepared = match request::check(head, metadata, &configuration, shared.now()) {
         Ok(prepared) => prepared,
         Err(reason) => return refuse(progress, Some(&id), &not_run_refusal(reason), 0, version),
     };
@@ -65,7 +65,7 @@
         shared.now(),
         &prepared.service,
         &prepared.route,
-        prepared.facts.deadline,
+        prepared.metadata.deadline,
     );
     let body = request::read_body(incoming, &prepared.headers, &configuration.limits).await;
     if body.as_ref().is_ok_and(RequestBody::is_buffered) {
@@ -179,7 +179,7 @@
         };
         progress.record_first_byte();
         in_flight.on_first_byte();
-        if let Some(load) = answer.facts.load {
+        if let Some(load) = answer.metadata.load {
             in_flight.on_load_report(load);
         }
         let is_stream = self.prepared.route.kind == Kind::Stream && answer.status.is_success();
@@ -221,8 +221,8 @@
                 )));
             }
         }
-        let Answer { status, headers, facts, connection, .. } = answer;
-        if !facts.closes_connection {
+        let Answer { status, headers, metadata, connection, .. } = answer;
+        if !metadata.closes_connection {
             connection.release(self.shared.now());
         }
         let upstream = in_flight.upstream().clone();
@@ -251,7 +251,7 @@
         }
         let refusal = self.correct_verdict(refusal);
         let version = Some(self.configuration.version);
-        refuse(progress, Some(&self.prepared.facts.id), &refusal, self.attempts(), version)
+        refuse(progress, Some(&self.prepared.metadata.id), &refusal, self.attempts(), version)
     }
 
     /// Forwards a complete answer to the caller.
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -46,8 +46,8 @@
 impl StreamingAnswer {
     /// Creates a streaming answer. `buffered` is the part of its body that was already read.
     pub(super) fn new(answer: Answer, in_flight: InFlightRequest, buffered: Bytes) -> Self {
-        let Answer { status, headers, facts, body, connection } = answer;
-        let source = Source { body, connection, is_closing: facts.closes_connection, in_flight };
+        let Answer { status, headers, metadata, body, connection } = answer;
+        let source = Source { body, connection, is_closing: metadata.closes_connection, in_flight };
         Self { status, headers, source, buffered }
     }
 
@@ -235,12 +235,16 @@
                     continue;
                 }
             };
-            if let Some(load) = answer.facts.load {
+            if let Some(load) = answer.metadata.load {
                 in_flight.on_load_report(load);
             }
-            let Answer { facts, body, connection, .. } = answer;
-            self.source =
-                Some(Source { body, connection, is_closing: facts.closes_connection, in_flight });
+            let Answer { metadata, body, connection, .. } = answer;
+            self.source = Some(Source {
+                body,
+                connection,
+                is_closing: metadata.closes_connection,
+                in_flight,
+            });
             return Ok(());
         }
     }
