--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -130,7 +130,7 @@
     /// Builds the request that is sent to the upstream.
     fn build_request(&self, body: OutgoingBody, size_bytes: Option<u64>) -> Request<OutgoingBody> {
         let prepared = self.prepared;
-        let passing = AddedHeaders {
+        let added = AddedHeaders {
             upstream: &self.upstream.id,
             remaining: prepared.deadline.remaining(self.shared.now()),
             workspace: prepared.workspace.as_ref().map(|workspace| &*workspace.name),
@@ -138,14 +138,14 @@
             holder: self.holder,
             last_event_id: self.last_event_id,
         };
-        let mut passed = headers::upstream_request_headers(&prepared.headers, &passing);
+        let mut forwarded = headers::upstream_request_headers(&prepared.headers, &added);
         if let Some(size) = size_bytes {
-            passed.insert(header::CONTENT_LENGTH, HeaderValue::from(size));
+            forwarded.insert(header::CONTENT_LENGTH, HeaderValue::from(size));
         }
         let mut request = Request::new(body);
         *request.method_mut() = prepared.method.clone();
         *request.uri_mut() = prepared.target.clone();
-        *request.headers_mut() = passed;
+        *request.headers_mut() = forwarded;
         request
     }
 }
