--- a/teaselworks/src/relay/caller_connection.rs
+++ b/teaselworks/src/relay/caller_connection.rs
@@ -53,7 +53,7 @@
 }
 
 /// A connection on which no request is in progress.
-struct IdleConnection {
+struct IdleCallerConnection {
     stream: TcpStream,
     /// Bytes of the next request that were already read.
     unread: Bytes,
@@ -88,7 +88,7 @@
     /// Fails if hyper reports an error, for example a malformed head or a caller that
     /// disconnects during a request.
     pub(super) async fn run(mut self, stream: TcpStream) -> io::Result<()> {
-        let mut idle = IdleConnection { stream, unread: Bytes::new() };
+        let mut idle = IdleCallerConnection { stream, unread: Bytes::new() };
         while !idle.unread.is_empty() || self.has_next_request(&idle.stream).await {
             // Boxed, since the memory of the inner future would otherwise be part of this one and
             // stay allocated while the connection is idle.
@@ -122,9 +122,12 @@
     /// Serves the next request and any that directly follow it.
     ///
     /// Returns the connection once it is idle, and `None` once it is closed.
-    async fn serve_requests(&mut self, idle: IdleConnection) -> io::Result<Option<IdleConnection>> {
+    async fn serve_requests(
+        &mut self,
+        idle: IdleCallerConnection,
+    ) -> io::Result<Option<IdleCallerConnection>> {
         let limits = request_limits(&self.shared);
-        let IdleConnection { stream, unread } = idle;
+        let IdleCallerConnection { stream, unread } = idle;
         let (shared, activity) = (self.shared.clone(), self.activity.clone());
         // Cleared until a request has arrived, since the connection would otherwise count as idle
         // before hyper has read the request.
@@ -159,7 +162,7 @@
                     let stream = parts.io.into_inner().stream;
                     // Copied, since even an empty slice would keep the whole read buffer alive.
                     let unread = Bytes::copy_from_slice(&parts.read_buf);
-                    return Ok(Some(IdleConnection { stream, unread }));
+                    return Ok(Some(IdleCallerConnection { stream, unread }));
                 }
                 () = self.shared.shutdown.reached(ShutdownPhase::Draining), if !self.is_closing => {
                     self.is_closing = true;
