--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -37,7 +37,7 @@
     pub zone: Arc<str>,
     fleet: Mutex<Fleet>,
     /// Time at which the router started.
-    started: Duration,
+    started_at: Duration,
     /// Notified when a configuration is set.
     configuration_set: Notify,
 }
@@ -53,7 +53,7 @@
     ) -> Self {
         let connections = ConnectionPool::new(metrics.clone());
         let stop = OnceLock::new();
-        let started = clock.monotonic();
+        let started_at = clock.monotonic();
         let fleet = Mutex::new(fleet);
         let configuration_set = Notify::new();
         Self {
@@ -64,7 +64,7 @@
             stop,
             zone,
             fleet,
-            started,
+            started_at,
             configuration_set,
         }
     }
@@ -82,7 +82,7 @@
     pub(super) async fn configuration(&self) -> Option<Arc<Configuration>> {
         let notified = self.configuration_set.notified();
         let known = self.fleet().configuration();
-        let remaining = (self.started + FIRST_CONFIGURATION_TIMEOUT).saturating_sub(self.now());
+        let remaining = (self.started_at + FIRST_CONFIGURATION_TIMEOUT).saturating_sub(self.now());
         if known.is_some() || remaining.is_zero() {
             return known;
         }
@@ -104,9 +104,9 @@
 
     /// Refuses a request that is expected to outlast a planned stop that has begun.
     pub(super) fn admit(&self, route: &Arc<str>, deadline: &Deadline) -> Result<(), Refusal> {
-        let Some((plan, stop_began)) = self.stop.get() else { return Ok(()) };
+        let Some((plan, stop_began_at)) = self.stop.get() else { return Ok(()) };
         let now = self.now();
-        let elapsed = now.saturating_sub(*stop_began);
+        let elapsed = now.saturating_sub(*stop_began_at);
         let remaining = deadline.remaining(now);
         let max_retry_after = deadline.max_retry_after(now);
         self.fleet().admit_while_stopping(plan, elapsed, route, remaining, max_retry_after)
