--- a/teaselworks/src/relay/caller.rs
+++ b/teaselworks/src/relay/caller.rs
@@ -68,7 +68,7 @@
 
     /// Counts the connection as open unless it is counted already.
     pub(super) fn count_connection(&self) {
-        let mut guard = self.guard.lock().expect("the guard's mutex is not poisoned");
+        let mut guard = self.guard.lock().expect("connection guard lock is never poisoned");
         guard.get_or_insert_with(|| self.open.add());
     }
 }
--- a/teaselworks/src/relay/connection_pool.rs
+++ b/teaselworks/src/relay/connection_pool.rs
@@ -118,7 +118,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<Incarnation, Vec<IdleConnection>>> {
-        self.0.lock().expect("lock of the idle connections is poisoned")
+        self.0.lock().expect("idle connections lock is never poisoned")
     }
 }
 
--- a/teaselworks/src/relay/event_splitter.rs
+++ b/teaselworks/src/relay/event_splitter.rs
@@ -6,7 +6,7 @@
 /// Largest incomplete event that is buffered until its end arrives.
 const MAX_PARTIAL_EVENT_BYTES: usize = 1 << 20;
 
-/// Buffers an incomplete event until its end arrives, and passes on complete events only.
+/// Buffers an incomplete event until its end arrives, and returns complete events only.
 ///
 /// If a stream breaks off, another engine can resume it after the last complete event. That engine
 /// sends the incomplete event again from its start.
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -29,7 +29,7 @@
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) deadline: Deadline,
-    /// The caller sends again a request that was refused before.
+    /// Whether the caller repeats a request that was refused before.
     pub(super) is_late: bool,
     pub(super) method: Method,
     pub(super) target: Uri,
--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -112,7 +112,7 @@
     Complete(CompleteAnswer),
     /// The answer is forwarded while it arrives.
     Stream(Box<StreamingAnswer>),
-    /// The attempt failed. The upstream's own error answer is kept if it is complete.
+    /// The attempt failed, with the error answer of the upstream if a complete one arrived.
     Failed(Failure, Option<CompleteAnswer>),
 }
 
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Tells the fleet about the failure of the attempt or the load that the upstream reports, and
-    /// reads the answer to its end unless it is a stream.
+    /// Records the failure of the attempt, or the load that the upstream reports, in the state of
+    /// the fleet, and reads the answer to its end unless it is a stream.
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -129,6 +129,6 @@
 
     /// Locks the state of the fleet for one decision. Don't hold the guard across an `.await`.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        self.fleet.lock().expect("lock of the fleet state is poisoned: a decision panicked")
+        self.fleet.lock().expect("fleet state lock is never poisoned, since no decision panics")
     }
 }
--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -107,7 +107,7 @@
     status: StatusCode,
     /// `None` between the loss of one upstream and the answer of the next.
     source: Option<AnswerSource>,
-    /// Splits the body into whole events; `None` if it is not a stream of events and so can't be
+    /// Splits the body into complete events; `None` if it is not a stream of events and so can't be
     /// resumed.
     splitter: Option<EventSplitter>,
     /// Fires at the request's deadline. There is one timer for the whole answer, since a timer for
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    /// Returns whether part of an event is held whose end has not arrived.
+    /// Returns whether an incomplete event is buffered.
     fn has_partial_event(&self) -> bool {
         self.splitter.as_ref().is_some_and(EventSplitter::has_partial_event)
     }
--- a/teaselworks/src/relay/upstream_connection.rs
+++ b/teaselworks/src/relay/upstream_connection.rs
@@ -33,7 +33,8 @@
 }
 
 impl IdleConnection {
-    /// Returns whether the connection is idle so briefly that the upstream won't close it yet.
+    /// Returns whether the connection has been idle so briefly that the upstream won't close it
+    /// yet.
     pub(super) fn is_usable(&self, now: Duration) -> bool {
         let max_idle_time = match self.keep_alive {
             None => DEFAULT_IDLE_TIMEOUT,
@@ -50,11 +51,12 @@
     /// Idle timeout of the upstream, if it states one.
     keep_alive: Option<Duration>,
     handle: ConnectionHandle,
-    /// Tells the task of the connection to release the stream; `None` once it was told.
+    /// Sends the task of the connection the message to release the stream; `None` once it was sent.
     release: Option<oneshot::Sender<ReleaseMessage>>,
 }
 
-/// Message to the task of a connection that releases the stream, with what is kept of it.
+/// Message that makes the task of a connection release its stream, with the values to keep for
+/// the idle connection.
 struct ReleaseMessage {
     idle_since: Duration,
     keep_alive: Option<Duration>,
@@ -193,6 +195,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<Arc<str>, Vec<ConnectionHandle>>> {
-        self.handles.lock().expect("lock of the active connections is poisoned")
+        self.handles.lock().expect("active connections lock is never poisoned")
     }
 }
