--- a/teaselworks/tests/answers.rs
+++ b/teaselworks/tests/answers.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use teaselworks_standin::caller::{Connection, Reply, call};
 use teaselworks_standin::configuration::{ARCHIVE_SERVICE, TestConfiguration};
-use teaselworks_standin::fleet::Fleet;
+use teaselworks_standin::fleet::{Fleet, wait_until};
 use teaselworks_standin::upstream::{
     ReceivedRequest, Script, Step, chunk, event, raw_response, stream_head,
 };
@@ -178,6 +178,14 @@
 async fn unreachable_replica_is_skipped_and_ejected() {
     let fleet = fleet(1).await;
     fleet.services[0].stop();
+    // `stop` returns before the listening socket is closed. Until then the kernel still accepts
+    // connections, and a request sent on one may have run, so the router rightly answers 502.
+    wait_until("connections to the stopped replica are refused", async || {
+        let connected = tokio::net::TcpStream::connect(fleet.services[0].address()).await;
+        connected.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
+    })
+    .await
+    .unwrap();
     for turn in 0..40 {
         let reply = send_to_router(&fleet, request("POST", "/write/a", &format!("d{turn}"))).await;
         assert_eq!(reply.status(), 200);
