--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -29,13 +29,13 @@
 pub(super) struct StreamingAnswer {
     status: StatusCode,
     headers: HeaderMap,
-    source: AnswerSource,
+    source: Source,
     /// Part of the body that was already read.
     buffered: Bytes,
 }
 
 /// The upstream connection that an answer currently arrives on.
-struct AnswerSource {
+struct Source {
     body: Incoming,
     connection: Connection,
     /// Whether the upstream closes the connection after this answer.
@@ -47,8 +47,7 @@
     /// Creates a streaming answer. `buffered` is the part of its body that was already read.
     pub(super) fn new(answer: Answer, in_flight: InFlightRequest, buffered: Bytes) -> Self {
         let Answer { status, headers, metadata, body, connection } = answer;
-        let source =
-            AnswerSource { body, connection, is_closing: metadata.closes_connection, in_flight };
+        let source = Source { body, connection, is_closing: metadata.closes_connection, in_flight };
         Self { status, headers, source, buffered }
     }
 
@@ -106,7 +105,7 @@
     buffered: Option<Bytes>,
     status: StatusCode,
     /// `None` between the loss of one upstream and the answer of the next.
-    source: Option<AnswerSource>,
+    source: Option<Source>,
     /// Splits the body into complete events; `None` if it is not a stream of events and so can't be
     /// resumed.
     splitter: Option<EventSplitter>,
@@ -240,7 +239,7 @@
                 in_flight.on_load_report(load);
             }
             let Answer { metadata, body, connection, .. } = answer;
-            self.source = Some(AnswerSource {
+            self.source = Some(Source {
                 body,
                 connection,
                 is_closing: metadata.closes_connection,
@@ -253,9 +252,7 @@
     /// Ends a complete answer, and keeps the connection for later requests if possible.
     fn finish(self) {
         let Self { source, request_state, progress, status, .. } = self;
-        let Some(AnswerSource { mut in_flight, connection, is_closing, body }) = source else {
-            return;
-        };
+        let Some(Source { mut in_flight, connection, is_closing, body }) = source else { return };
         drop(body);
         in_flight.set_outcome(RequestOutcome::Answered);
         let attempts = request_state.attempts();
