--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -131,7 +131,7 @@
     fn build_request(&self, body: OutgoingBody, size_bytes: Option<u64>) -> Request<OutgoingBody> {
         let prepared = self.prepared;
         let added = AddedHeaders {
-            upstream: &self.upstream.id,
+            upstream_id: &self.upstream.id,
             remaining: prepared.deadline.remaining(self.shared.now()),
             workspace: prepared.workspace.as_ref().map(|workspace| &*workspace.name),
             priority: prepared.route.has_prompts.then(|| prepared.priority()),
@@ -170,11 +170,11 @@
     if metadata.is_not_run {
         return Err(if metadata.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
-    let is_unverified = !metadata.is_signed || metadata.is_encoded;
+    let is_unverified = !metadata.has_server_stamp || metadata.is_encoded;
     if is_unverified && status.is_success() {
         return Err(Failure::Foreign);
     }
-    if !metadata.is_signed {
+    if !metadata.has_server_stamp {
         return Err(Failure::Failed);
     }
     Ok(())
