--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -46,8 +46,8 @@
 impl StreamingAnswer {
     /// Creates a streaming answer. `buffered` is the part of its body that was already read.
     pub(super) fn new(answer: Answer, in_flight: InFlightRequest, buffered: Bytes) -> Self {
-        let Answer { status, headers, facts, body, connection } = answer;
-        let source = Source { body, connection, is_closing: facts.closes_connection, in_flight };
+        let Answer { status, headers, metadata, body, connection } = answer;
+        let source = Source { body, connection, is_closing: metadata.closes_connection, in_flight };
         Self { status, headers, source, buffered }
     }
 
@@ -106,7 +106,7 @@
     status: StatusCode,
     /// `None` between the loss of one upstream and the answer of the next.
     source: Option<Source>,
-    /// Splits the body into whole events; `None` if it is not a stream of events and so can't be
+    /// Splits the body into complete events; `None` if it is not a stream of events and so can't be
     /// resumed.
     splitter: Option<EventSplitter>,
     /// Fires at the request's deadline. There is one timer for the whole answer, since a timer for
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    /// Returns whether part of an event is held whose end has not arrived.
+    /// Returns whether an incomplete event is buffered.
     fn has_partial_event(&self) -> bool {
         self.splitter.as_ref().is_some_and(EventSplitter::has_partial_event)
     }
@@ -235,12 +235,16 @@
                     continue;
                 }
             };
-            if let Some(load) = answer.facts.load {
+            if let Some(load) = answer.metadata.load {
                 in_flight.on_load_report(load);
             }
-            let Answer { facts, body, connection, .. } = answer;
-            self.source =
-                Some(Source { body, connection, is_closing: facts.closes_connection, in_flight });
+            let Answer { metadata, body, connection, .. } = answer;
+            self.source = Some(Source {
+                body,
+                connection,
+                is_closing: metadata.closes_connection,
+                in_flight,
+            });
             return Ok(());
         }
     }
