--- a/teaselworks_standin/src/fleet.rs
+++ b/teaselworks_standin/src/fleet.rs
@@ -20,12 +20,12 @@
 
 /// A running fleet of routers with its store and replicas.
 pub struct Fleet {
-    /// The platform's store.
+    /// Stand-in for the platform's store.
     pub store: Store,
     /// Replicas of the service [`CHAT_SERVICE`].
     pub engines: Vec<Upstream>,
     /// Replicas of the service [`ARCHIVE_SERVICE`].
-    pub services: Vec<Upstream>,
+    pub archives: Vec<Upstream>,
     /// Router processes.
     pub routers: Vec<Router>,
     /// Configuration that [`Fleet::publish_configuration`] writes to the store.
@@ -35,18 +35,18 @@
 impl Fleet {
     /// Starts a fleet with the default configuration and bounds, and waits until its routers are
     /// ready.
-    pub async fn start(program: Program, routers: usize) -> io::Result<Self> {
-        Self::start_with(program, routers, TestConfiguration::default(), &json!({})).await
+    pub async fn start(program: Program, router_count: usize) -> io::Result<Self> {
+        Self::start_with(program, router_count, TestConfiguration::default(), &json!({})).await
     }
 
-    /// Starts a fleet with two engines and two service replicas, and waits until its routers are
-    /// ready and registered in the store. The replicas send complete responses: the engines streams
-    /// of five events, the services a body.
+    /// Starts a fleet with two replicas of each service, and waits until its routers are ready and
+    /// registered in the store. All replicas send complete responses: those of [`CHAT_SERVICE`]
+    /// streams of five events, those of [`ARCHIVE_SERVICE`] a body.
     ///
     /// `bounds` is the section `bounds` of every router's settings.
     pub async fn start_with(
         program: Program,
-        routers: usize,
+        router_count: usize,
         configuration: TestConfiguration,
         bounds: &Value,
     ) -> io::Result<Self> {
@@ -54,17 +54,17 @@
         let sse = |req: &ReceivedRequest| Script::stream(req, 1..6, Duration::from_millis(1), true);
         let respond = |req: &ReceivedRequest| Script::response(req, 200, "a verse");
         let engines = vec![Upstream::start("engine-1", sse)?, Upstream::start("engine-2", sse)?];
-        let services =
+        let archives =
             vec![Upstream::start("service-1", respond)?, Upstream::start("service-2", respond)?];
-        let mut fleet = Self { store, engines, services, routers: Vec::new(), configuration };
+        let mut fleet = Self { store, engines, archives, routers: Vec::new(), configuration };
         fleet.publish_configuration();
         for upstream in &fleet.engines {
-            fleet.list(upstream, CHAT_SERVICE, "ready");
+            fleet.put_entry(upstream, CHAT_SERVICE, "ready");
         }
-        for upstream in &fleet.services {
-            fleet.list(upstream, ARCHIVE_SERVICE, "ready");
+        for upstream in &fleet.archives {
+            fleet.put_entry(upstream, ARCHIVE_SERVICE, "ready");
         }
-        for number in 0..routers {
+        for number in 0..router_count {
             let seeds: Vec<_> = fleet.routers.iter().map(Router::peers_address).collect();
             let name = format!("router-{number}");
             let store = fleet.store.address();
@@ -73,7 +73,7 @@
         for router in &fleet.routers {
             router.wait_until_ready().await?;
         }
-        let count = routers;
+        let count = router_count;
         wait_until("all routers registered", async || fleet.store.keys("routers/").len() == count)
             .await?;
         Ok(fleet)
@@ -85,18 +85,24 @@
     }
 
     /// Writes the entry of a replica to the store, with the address on which it listens.
-    pub fn list(&self, upstream: &Upstream, service: &str, state: &str) {
-        self.list_at(upstream, upstream.address(), service, state);
+    pub fn put_entry(&self, upstream: &Upstream, service: &str, state: &str) {
+        self.put_entry_at(upstream, upstream.address(), service, state);
     }
 
     /// Writes the entry of a replica to the store, with another address, such as that of a proxy.
-    pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, service: &str, state: &str) {
+    pub fn put_entry_at(
+        &self,
+        upstream: &Upstream,
+        address: SocketAddr,
+        service: &str,
+        state: &str,
+    ) {
         let entry = upstream_entry(upstream, address, service, state);
         self.store.put_json(&format!("servers/{}", upstream.id), &entry);
     }
 
     /// Removes the entry of a replica from the store.
-    pub fn unlist(&self, id: &str) {
+    pub fn remove_entry(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 }
