--- a/teaselworks/src/relay/serve.rs
+++ b/teaselworks/src/relay/serve.rs
@@ -162,8 +162,11 @@
         }
     }
 
-    /// Records the failure of the attempt, or the load that the upstream reports, in the state of
-    /// the fleet, and reads the answer to its end unless it is a stream.
+    /// Returns the result of an attempt. Reads the answer to its end, unless it is the successful
+    /// answer of a stream route.
+    ///
+    /// Also records the outcome of a failed attempt, or the load that the upstream reports with its
+    /// answer, in the state of the fleet.
     async fn receive(
         &mut self,
         answer: Result<Answer, Failure>,
@@ -195,6 +198,9 @@
 
     /// Reads the answer to its end within the deadline. An answer larger than
     /// [`MAX_BUFFERED_ANSWER_BYTES`] is forwarded while the rest of it arrives.
+    ///
+    /// A complete answer counts as a failed attempt if its status is a server error, or one from
+    /// which callers conclude that the request was not run.
     async fn read_to_end(
         &mut self,
         mut answer: Answer,
