--- a/teaselworks/src/relay/request_state.rs
+++ b/teaselworks/src/relay/request_state.rs
@@ -104,13 +104,14 @@
         self.prepared.headers = HeaderMap::new();
     }
 
-    /// Returns a guard that counts the request as in flight at the upstream until it is dropped.
+    /// Returns a guard that keeps the request counted as in flight at the upstream until it is
+    /// dropped. The placement already counted the request.
     pub(super) fn track_in_flight(&self, placement: &Placement) -> InFlightRequest {
         InFlightRequest::new(self.shared.clone(), self.prepared.service.clone(), placement)
     }
 
-    /// Decides whether another attempt follows a failed one; `has_begun` if the answer had already
-    /// begun and would be resumed.
+    /// Decides whether another attempt follows a failed one. `has_begun` is true if the answer had
+    /// already begun, so that the next attempt would resume it.
     ///
     /// Takes the retry from the retry budget if the decision requires that. Returns the refusal of
     /// the request as the error if no attempt follows.
@@ -124,7 +125,7 @@
         }
         let now = self.shared.now();
         // A body that was forwarded while it arrived is not buffered and can't be sent to another
-        // upstream. The maximum count rules out a retry.
+        // upstream. `decide_retry` allows no retry at the maximum count.
         let tried_count = if self.body.is_buffered() { self.attempts() } else { u32::MAX };
         let history = AttemptHistory {
             is_idempotent: self.prepared.route.is_idempotent(),
@@ -196,8 +197,9 @@
         ]);
     }
 
-    /// Replaces a refusal that says that the request was not run if an earlier attempt may have run
-    /// it.
+    /// Returns the refusal unchanged, unless it says that the request was not run although an
+    /// earlier attempt may have run it. It is then replaced by one that says that the request may
+    /// have run.
     pub(super) fn correct_verdict(&self, refusal: Refusal) -> Refusal {
         if self.runs == 0 || refusal.verdict == Verdict::MayHaveRun {
             return refusal;
