--- a/teaselworks/src/relay/stream.rs
+++ b/teaselworks/src/relay/stream.rs
@@ -103,6 +103,7 @@
 struct StreamRelay {
     /// Part of the body that was already read and is yet to be forwarded.
     buffered: Option<Bytes>,
+    /// Status of the answer. Only an answer with the same status can resume it.
     status: StatusCode,
     /// `None` between the loss of one upstream and the answer of the next.
     source: Option<Source>,
@@ -122,7 +123,8 @@
 }
 
 impl StreamRelay {
-    /// Returns the next data to forward; `None` at the end of the answer.
+    /// Returns the next data to forward; `None` at the end of the answer. A stream of events that
+    /// ends inside an event is resumed at another upstream.
     async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             let data = match self.next_chunk().await? {
@@ -249,7 +251,8 @@
         }
     }
 
-    /// Ends a complete answer, and keeps the connection for later requests if possible.
+    /// Records that the answer was forwarded completely, and releases the connection to the
+    /// upstream for later requests unless the upstream closes it.
     fn finish(self) {
         let Self { source, request_state, progress, status, .. } = self;
         let Some(Source { mut in_flight, connection, is_closing, body }) = source else { return };
@@ -262,7 +265,9 @@
         }
     }
 
-    /// Ends an incomplete answer; the caller's connection is closed before the end of the body.
+    /// Records that the answer is incomplete; the caller's connection is closed before the end of
+    /// the body. If the request's deadline passed, no outcome is set: that says nothing about the
+    /// health of the upstream.
     fn abort(self, cause: BodyError) {
         let Self { source, request_state, progress, .. } = self;
         let upstream = source.as_ref().map(|source| source.in_flight.upstream().clone());
