--- a/teaselworks/src/relay/attempt.rs
+++ b/teaselworks/src/relay/attempt.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Opens a connection, and records how long that took, from which the connect timeout of later
-    /// connections follows.
+    /// Opens a connection, and records how long that took or that it timed out. The connect timeout
+    /// of later connections is derived from these records.
     async fn open_connection(&self, incarnation: &Incarnation) -> io::Result<Connection> {
         let started_at = self.shared.now();
         let connect_timeout = self.shared.fleet().connect_times.timeout();
@@ -99,8 +99,10 @@
         opened
     }
 
-    /// Sends the request on a connection. The outer error returns the request if no byte of it was
-    /// written.
+    /// Sends the request on a connection and waits for the head of the answer.
+    ///
+    /// The outer result is an error, which returns the request, if no byte of it was written. The
+    /// inner result is that of the attempt.
     async fn send(
         &mut self,
         mut connection: Connection,
@@ -150,7 +152,8 @@
     }
 }
 
-/// Checks that an answer belongs to the request and that the upstream ran the request.
+/// Checks that an answer belongs to the request, that it comes from an upstream, and that the
+/// upstream ran the request.
 ///
 /// An answer can belong to another request: an upstream may send a second answer to an earlier
 /// request on a kept-alive connection.
@@ -170,6 +173,8 @@
     if metadata.is_not_run {
         return Err(if metadata.is_misdirected { Failure::Moved } else { Failure::Rejected });
     }
+    // The server stamp shows that an answer comes from an upstream, and upstreams never use a
+    // content encoding.
     let is_unverified = !metadata.has_server_stamp || metadata.is_encoded;
     if is_unverified && status.is_success() {
         return Err(Failure::Foreign);
