--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -18,7 +18,8 @@
 use crate::metrics::Metrics;
 
 /// Time after the start of the router up to which requests wait for the first configuration. It
-/// usually arrives within some tens of milliseconds; a refused caller would lose more time.
+/// usually arrives within some tens of milliseconds; a caller that is refused would lose more time
+/// than one that waits.
 const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// State and services that every request uses.
@@ -31,7 +32,7 @@
     pub connections: ConnectionPool,
     /// Current phase of a planned stop.
     pub shutdown: Shutdown,
-    /// Plan of the planned stop and the time at which the stop began.
+    /// Plan of the planned stop and the time at which the stop began; set when a stop begins.
     stop: OnceLock<(StopPlan, Duration)>,
     /// Availability zone of this router.
     pub zone: Arc<str>,
@@ -86,7 +87,8 @@
         if known.is_some() || remaining.is_zero() {
             return known;
         }
-        // A configuration that arrives after the timeout serves the caller's retry.
+        // The request is refused if no configuration arrives in time. One that arrives later serves
+        // the caller's retry.
         let _ = tokio::time::timeout(remaining, notified).await;
         self.fleet().configuration()
     }
