--- a/teaselworks/src/relay/connection_pool.rs
+++ b/teaselworks/src/relay/connection_pool.rs
@@ -14,8 +14,8 @@
 use crate::metrics::Metrics;
 use crate::net;
 
-/// Maximum number of idle connections kept to one upstream, as all routers share the upstream's
-/// connection limit.
+/// Maximum number of idle connections that a router keeps to one upstream. All routers share the
+/// upstream's connection limit.
 const MAX_IDLE_PER_UPSTREAM: usize = 32;
 
 /// Pool of connections to upstreams. Idle connections are reused.
--- a/teaselworks/src/relay/request.rs
+++ b/teaselworks/src/relay/request.rs
@@ -29,7 +29,8 @@
     pub(super) service: Arc<str>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) deadline: Deadline,
-    /// Whether the caller repeats a request that was refused before.
+    /// Whether the caller probably repeats a request that was refused before: the deadline it sent
+    /// is clearly shorter than usual for the route. [`check`] leaves this false; `serve` sets it.
     pub(super) is_late: bool,
     pub(super) method: Method,
     pub(super) target: Uri,
@@ -142,8 +143,8 @@
     }
 }
 
-/// Reads a body into memory if it is at most [`MAX_BUFFERED_BODY_BYTES`] long. The rest of a
-/// longer body is read while the request is sent to an upstream.
+/// Reads a body into memory if it is at most [`MAX_BUFFERED_BODY_BYTES`] long. Of a longer body,
+/// only the beginning is read here, and the rest while the request is sent to an upstream.
 ///
 /// # Errors
 ///
--- a/teaselworks/src/relay/request_progress.rs
+++ b/teaselworks/src/relay/request_progress.rs
@@ -12,7 +12,8 @@
 
 /// A request in progress.
 ///
-/// One that is dropped before an end was recorded is counted as a caller that left.
+/// If it is dropped before its end was recorded, it is logged and counted as a request whose caller
+/// disconnected before the answer was complete.
 pub(super) struct RequestProgress {
     shared: Arc<Shared>,
     id: Arc<str>,
