--- a/teaselworks/src/relay/event_splitter.rs
+++ b/teaselworks/src/relay/event_splitter.rs
@@ -18,7 +18,8 @@
 
 impl EventSplitter {
     /// Adds received bytes and returns the events that are now complete, unchanged. The result is
-    /// empty if none is complete, and `None` if an incomplete event is larger than 1 MiB.
+    /// empty if none is complete, and `None` if none is complete and the incomplete event is larger
+    /// than 1 MiB.
     ///
     /// ```
     /// use teaselworks::relay::EventSplitter;
--- a/teaselworks/src/relay/io.rs
+++ b/teaselworks/src/relay/io.rs
@@ -110,7 +110,8 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The socket of a connection; records in `activity` when bytes arrive and are flushed.
+/// The socket of a caller's connection. Records in `activity` when bytes arrive and whether all
+/// bytes that were written have been flushed.
 pub(super) struct CallerStream {
     /// Bytes that were read from the socket earlier; they are returned first.
     pub(super) unread: Bytes,
--- a/teaselworks/src/relay/shared.rs
+++ b/teaselworks/src/relay/shared.rs
@@ -78,8 +78,9 @@
         is_newer
     }
 
-    /// Returns the active configuration. Waits for the first one if the router has just started;
-    /// `None` if there is none by then.
+    /// Returns the active configuration. If there is none yet, waits for the first one until
+    /// [`FIRST_CONFIGURATION_TIMEOUT`] after the start of the router. `None` if none has arrived by
+    /// then.
     pub(super) async fn configuration(&self) -> Option<Arc<Configuration>> {
         let notified = self.configuration_set.notified();
         let known = self.fleet().configuration();
